--- /dev/null
+++ b/src/test/java/org/spoolline/world/TraceDigest.java
@@ -0,0 +1,148 @@
+package org.spoolline.world;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import com.google.common.hash.Hasher;
+import com.google.common.hash.Hashing;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.lang.StackWalker.StackFrame;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import org.spoolline.net.Http;
+
+/**
+ * A hash of every message between the processes of one {@link World}: for a request the simulated time, sender, target,
+ * method, path, query and body; for its reply the simulated time at which the caller hears it, status and body. A
+ * timeout counts as a reply with status 0, and a reply that comes after it does not count, since no caller hears it.
+ *
+ * <h2>Use</h2>
+ *
+ * It is off unless the system property {@code trace.digest} names a file. That file is written when the JVM ends, with
+ * one line for each world, sorted:
+ *
+ * <pre>{@code
+ * org.spoolline.world.GapTest#aTest seed=1 world=1 messages=1234 0123456789abcdef0123456789abcdef
+ * }</pre>
+ *
+ * {@code world} counts the worlds that a test method created with the same seed, from 1. To see whether two runs, or the
+ * same tests before and after a change that should change no message, sent the same:
+ *
+ * <pre>{@code
+ * mvn test -Dtest='org.spoolline.world.*Test' -Dtrace.digest=target/before.txt
+ * mvn test -Dtest='org.spoolline.world.*Test' -Dtrace.digest=target/after.txt
+ * diff target/before.txt target/after.txt
+ * }</pre>
+ *
+ * {@code -Dstories.seeds=N} asks for more seeds, see {@link Days}. The file is overwritten, so two test JVMs at a time
+ * need two names. It is a tool for comparison; no digest is kept in the repository, since most changes of the program
+ * change some message.
+ */
+final class TraceDigest {
+    private static final String FILE = System.getProperty("trace.digest", "");
+    private static final String PACKAGES = "org.spoolline.";
+    private static final String NO_TEST = "no test";
+    /** All worlds of this JVM while the digest is on. */
+    private static final List<TraceDigest> ALL = new ArrayList<>();
+
+    private static final Map<String, Integer> ORDINALS = new HashMap<>();
+
+    static {
+        if (isOn()) {
+            Runtime.getRuntime().addShutdownHook(new Thread(TraceDigest::write));
+        }
+    }
+
+    private final String world;
+    private final Hasher hasher = Hashing.murmur3_128().newHasher();
+    private long messages;
+
+    /** {@code world} is what the line says before the number of messages. */
+    TraceDigest(String world) {
+        this.world = world;
+    }
+
+    /** The digest of a new world, or null when none is asked for. */
+    static TraceDigest ofNewWorld(long seed) {
+        if (!isOn()) {
+            return null;
+        }
+        synchronized (ALL) {
+            String key = testOnStack() + " seed=" + seed;
+            TraceDigest digest = new TraceDigest(key + " world=" + ORDINALS.merge(key, 1, Integer::sum));
+            ALL.add(digest);
+            return digest;
+        }
+    }
+
+    private static boolean isOn() {
+        return !FILE.isBlank();
+    }
+
+    /** The outermost method of a test class among the callers, as {@code class#method}. */
+    static String testOnStack() {
+        return StackWalker.getInstance()
+                .walk(frames -> frames.filter(TraceDigest::inTest).reduce((inner, outer) -> outer))
+                .map(frame -> frame.getClassName() + "#" + frame.getMethodName())
+                .orElse(NO_TEST);
+    }
+
+    private static boolean inTest(StackFrame frame) {
+        String name = frame.getClassName();
+        return name.startsWith(PACKAGES) && (name.endsWith("Test") || name.contains("Test$"));
+    }
+
+    /** Takes in a request; the consumer returned takes in its reply and hands it on to {@code done}. */
+    synchronized Consumer<Http.Reply> sent(
+            LongSupplier now, String from, String target, Http.Request request, Consumer<Http.Reply> done) {
+        long number = ++messages;
+        hasher.putChar('Q').putLong(number).putLong(now.getAsLong());
+        text(from);
+        text(target);
+        text(request.method());
+        text(request.path());
+        text(request.query());
+        bytes(request.body());
+        return reply -> {
+            heard(number, now.getAsLong(), reply);
+            done.accept(reply);
+        };
+    }
+
+    private synchronized void heard(long number, long now, Http.Reply reply) {
+        hasher.putChar('R').putLong(number).putLong(now).putInt(reply.status());
+        bytes(reply.body());
+    }
+
+    /** With its length, so that no two sequences of fields are the same bytes. */
+    private void bytes(byte[] value) {
+        hasher.putInt(value.length).putBytes(value);
+    }
+
+    private void text(String value) {
+        bytes(value.getBytes(UTF_8));
+    }
+
+    /** The world's line; nothing can be taken in after it. */
+    synchronized String line() {
+        return world + " messages=" + messages + " " + hasher.hash();
+    }
+
+    private static void write() {
+        synchronized (ALL) {
+            try {
+                Files.write(
+                        Path.of(FILE),
+                        ALL.stream().map(TraceDigest::line).sorted().toList());
+            } catch (IOException e) {
+                throw new UncheckedIOException(e);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/spoolline/world/TraceDigestTest.java
@@ -0,0 +1,80 @@
+package org.spoolline.world;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.junit.jupiter.api.Test;
+import org.spoolline.net.Http;
+
+class TraceDigestTest {
+    private static final Http.Request REQUEST = new Http.Request("POST", "/p", "", "body".getBytes(UTF_8));
+    private static final Http.Reply REPLY = new Http.Reply(200, "answer".getBytes(UTF_8));
+
+    /** The line of one request sent at 5 ms and its reply heard at a given time. */
+    private static String line(String from, String target, Http.Request request, long heardAt, Http.Reply reply) {
+        TraceDigest digest = new TraceDigest("w");
+        long[] now = {5};
+        Consumer<Http.Reply> heard = digest.sent(() -> now[0], from, target, request, r -> {});
+        now[0] = heardAt;
+        heard.accept(reply);
+        return digest.line();
+    }
+
+    private static String lineOfADay(long seed) {
+        World world = new World(seed);
+        world.digest = new TraceDigest("w");
+        for (int i = 0; i < 4; i++) {
+            int n = i;
+            world.at(3_000 + i * 5_000L, () -> world.users.submit(Days.jobOf(world, n)));
+        }
+        world.run(60);
+        return world.digest.line();
+    }
+
+    @Test
+    void everyPartOfAMessageCounts() {
+        List<String> lines = List.of(
+                line("a", "b:1", REQUEST, 9, REPLY),
+                line("ab", ":1", REQUEST, 9, REPLY),
+                line("c", "b:1", REQUEST, 9, REPLY),
+                line("a", "b:2", REQUEST, 9, REPLY),
+                line("a", "b:1", new Http.Request("PUT", "/p", "", REQUEST.body()), 9, REPLY),
+                line("a", "b:1", new Http.Request("POST", "/q", "", REQUEST.body()), 9, REPLY),
+                line("a", "b:1", new Http.Request("POST", "/p", "x=1", REQUEST.body()), 9, REPLY),
+                line("a", "b:1", new Http.Request("POST", "/p", "", new byte[0]), 9, REPLY),
+                line("a", "b:1", REQUEST, 10, REPLY),
+                line("a", "b:1", REQUEST, 9, new Http.Reply(503, REPLY.body())),
+                line("a", "b:1", REQUEST, 9, new Http.Reply(200, new byte[0])));
+        assertEquals(lines.size(), lines.stream().distinct().count(), lines::toString);
+        assertEquals(lines.get(0), line("a", "b:1", REQUEST, 9, REPLY));
+        assertTrue(lines.get(0).matches("w messages=1 [0-9a-f]{32}"), lines.get(0));
+    }
+
+    @Test
+    void theCallerHearsTheReply() {
+        List<Http.Reply> heard = new ArrayList<>();
+        new TraceDigest("w").sent(() -> 0, "a", "b:1", REQUEST, heard::add).accept(REPLY);
+        assertEquals(List.of(REPLY), heard);
+    }
+
+    @Test
+    void aWorldSendsTheSameForTheSameSeed() {
+        assertEquals(lineOfADay(1), lineOfADay(1));
+        assertNotEquals(lineOfADay(1), lineOfADay(2));
+    }
+
+    @Test
+    void theTestIsFoundFromCodeThatItCalls() {
+        Supplier<String> within = () -> List.of(1).stream()
+                .map(i -> TraceDigest.testOnStack())
+                .findFirst()
+                .orElseThrow();
+        assertEquals("org.spoolline.world.TraceDigestTest#theTestIsFoundFromCodeThatItCalls", within.get());
+    }
+}
--- a/src/test/java/org/spoolline/world/World.java
+++ b/src/test/java/org/spoolline/world/World.java
@@ -94,6 +94,8 @@
     private final Set<String> older = new HashSet<>();
 
     private long copiesUpToMs;
+    /** Hears of every message; null when no digest is asked for. */
+    TraceDigest digest;
 
     public World(long seed) {
         this(seed, 1);
@@ -108,6 +110,7 @@
     public World(long seed, int scale, int stateRps) {
         this.scale = scale;
         this.stateRps = stateRps;
+        digest = TraceDigest.ofNewWorld(seed);
         random = new SplittableRandom(seed);
         state = new FakeState(this);
         cloud = new FakeCloud(this);
@@ -323,6 +326,7 @@
 
     /** Sends a request from one host to an address; the reply has status 0 when none came in time. */
     void call(String from, String target, Http.Request request, long timeoutMs, Consumer<Http.Reply> done) {
+        Consumer<Http.Reply> heard = digest == null ? done : digest.sent(this::now, from, target, request, done);
         String host = target.substring(0, target.indexOf(':'));
         boolean toWorker = isWorker(host);
         if (toWorker) {
@@ -335,7 +339,7 @@
                 if (toWorker) {
                     toWorkers.merge(from, -1, Integer::sum);
                 }
-                done.accept(reply);
+                heard.accept(reply);
             }
         };
         at(timeoutMs, () -> end.accept(Http.Reply.NONE));
