--- a/src/main/java/org/spoolline/intake/Ancestors.java
+++ b/src/main/java/org/spoolline/intake/Ancestors.java
@@ -4,6 +4,7 @@
 import java.util.Collection;
 import java.util.Deque;
 import java.util.HashSet;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -56,9 +57,12 @@
         }
     }
 
-    /** Looks through all jobs needed; {@code done} hears the verdict once. */
+    /**
+     * Looks through all jobs needed; {@code done} hears the verdict once. They are read in the order given, so that the
+     * same submission sends the same requests in any run: the order of {@code Set.copyOf} differs from one to the next.
+     */
     void check(Collection<String> prerequisites, Consumer<Verdict> done) {
-        new Walk(Set.copyOf(prerequisites), done).goOn();
+        new Walk(new LinkedHashSet<>(prerequisites), done).goOn();
     }
 
     /** One look through the jobs needed. Reads go side by side; a chain of any length takes no deeper stack. */
--- a/src/test/java/org/spoolline/world/World.java
+++ b/src/test/java/org/spoolline/world/World.java
@@ -22,7 +22,8 @@
 
 /**
  * One in-memory world: controllers, state service, cloud, workers and users under simulated time and seeded luck. A
- * story replays the same for the same seed. Whatever tasks do is seen by {@link Rules}.
+ * story replays the same for the same seed, in any run; {@link TraceDigest} shows whether it did. Whatever tasks do is
+ * seen by {@link Rules}.
  */
 public final class World {
     public static final long START_OF_DAY = 1_700_000_000_000L;
