--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -4,100 +4,109 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.spoolline.diagnostics.Counters;
-import org.spoolline.diagnostics.Event;
-import org.spoolline.diagnostics.StallMonitor;
-import org.spoolline.fleet.Catalog;
-import org.spoolline.fleet.Fleet;
-import org.spoolline.intake.Intake;
-import org.spoolline.leadership.Freshness;
-import org.spoolline.leadership.Leadership;
+import org.spoolline.api.JobApi;
+import org.spoolline.autoscaler.Autoscaler;
+import org.spoolline.cluster.MachineRegistry;
+import org.spoolline.cluster.MachineTypeCatalog;
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.election.LeaderElection;
+import org.spoolline.election.StalenessBound;
+import org.spoolline.job.JobTable;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.metrics.Counters;
+import org.spoolline.metrics.Event;
+import org.spoolline.metrics.StallMonitor;
+import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
-import org.spoolline.net.Loop;
-import org.spoolline.peers.Peers;
-import org.spoolline.placement.JobTable;
-import org.spoolline.placement.SchedulingCycles;
-import org.spoolline.settings.Constants;
-import org.spoolline.settings.Settings;
-import org.spoolline.state.StateClient;
+import org.spoolline.peer.PeerService;
+import org.spoolline.scheduler.Scheduler;
 import org.spoolline.upgrade.VersionRegistry;
-import org.spoolline.workers.Heartbeats;
-import org.spoolline.workers.MachineTable;
+import org.spoolline.worker.HeartbeatService;
 
 /** One controller node: its slices, wired together. Clock, random source and network come from outside. */
-public final class Controller implements Leadership.Listener {
+public final class Controller implements LeaderElection.Listener {
     /** Where operators read the counters, on the internal address. */
     public static final String COUNTERS = "/counters";
 
     private final Settings settings;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Counters counters;
     private final StallMonitor stalls;
-    private final Freshness freshness;
-    private final StateClient state;
-    private final Leadership leadership;
-    private final Catalog catalog;
+    private final StalenessBound staleness;
+    private final KeyValueStoreClient store;
+    private final LeaderElection election;
+    private final MachineTypeCatalog catalog;
     private final JobTable jobs = new JobTable();
     private final VersionRegistry versions;
-    private final Intake intake;
-    private final Heartbeats heartbeats;
-    private final SchedulingCycles cycles;
-    private final Fleet fleet;
-    private final Peers peers;
+    private final JobApi jobApi;
+    private final HeartbeatService heartbeatService;
+    private final Scheduler scheduler;
+    private final Autoscaler autoscaler;
+    private final PeerService peerService;
     private Runnable leaderKnown = () -> {};
 
-    public Controller(Settings settings, Loop loop, Http.Caller http, RandomGenerator random) {
+    public Controller(Settings settings, EventLoop loop, Http.Caller http, RandomGenerator random) {
         this.settings = settings;
         this.loop = loop;
         counters = new Counters(loop);
         stalls = new StallMonitor(loop);
-        state = new StateClient(loop, http, settings);
-        leadership = new Leadership(loop, random, state, settings, this, counters);
-        catalog = new Catalog(loop, http, settings, state);
-        versions = new VersionRegistry(loop, state, settings);
-        intake = new Intake(loop, settings, state, catalog, versions, this::cancelled);
-        freshness = new Freshness(loop, settings, leadership);
-        MachineTable machines = new MachineTable();
-        cycles = new SchedulingCycles(
-                loop, settings, state, leadership, freshness, catalog, machines, jobs, counters, stalls);
-        fleet = new Fleet(loop, http, settings, leadership, catalog, machines, cycles::requestCycle);
-        heartbeats = new Heartbeats(
-                loop, http, settings, leadership, freshness, machines, jobs, cycles, cycles::heard, counters);
-        cycles.connect(fleet, new SchedulingCycles.CycleListener() {
+        store = new KeyValueStoreClient(loop, http, settings);
+        election = new LeaderElection(loop, random, store, settings, this, counters);
+        catalog = new MachineTypeCatalog(loop, http, settings, store);
+        versions = new VersionRegistry(loop, store, settings);
+        jobApi = new JobApi(loop, settings, store, catalog, versions, this::cancelled);
+        staleness = new StalenessBound(loop, settings, election);
+        MachineRegistry machines = new MachineRegistry();
+        scheduler =
+                new Scheduler(loop, settings, store, election, staleness, catalog, machines, jobs, counters, stalls);
+        autoscaler = new Autoscaler(loop, http, settings, election, catalog, machines, scheduler::requestCycle);
+        heartbeatService = new HeartbeatService(
+                loop,
+                http,
+                settings,
+                election,
+                staleness,
+                machines,
+                jobs,
+                scheduler,
+                scheduler::machineChanged,
+                counters);
+        scheduler.connect(autoscaler, new Scheduler.CycleListener() {
             @Override
-            public void loaded() {
-                heartbeats.ready(true);
+            public void jobsLoaded() {
+                heartbeatService.setReady(true);
             }
 
             @Override
-            public void written(boolean settled, Set<String> withNews) {
-                heartbeats.flush(settled);
-                heartbeats.nudge(withNews);
+            public void valuesWritten(boolean settled, Set<String> withNews) {
+                heartbeatService.releaseHeldResponses(settled);
+                heartbeatService.requestEarlyHeartbeats(withNews);
             }
         });
-        peers = new Peers(loop, http, settings, state, leadership, new Peers.Local() {
+        peerService = new PeerService(loop, http, settings, store, election, new PeerService.Local() {
             @Override
             public void handle(Http.Request request, Consumer<Http.Response> answer) {
-                intake.handle(request, answer);
+                jobApi.handle(request, answer);
             }
 
             @Override
-            public boolean hearsWorkers() {
-                return heartbeats.hearsWorkers();
+            public boolean receivesHeartbeats() {
+                return heartbeatService.receivesHeartbeats();
             }
 
             @Override
-            public void cancelled(String uid) {
-                jobs.cancelled(uid);
+            public void jobCancelled(String jobId) {
+                jobs.markCancelled(jobId);
             }
         });
     }
 
     /** A cancellation was confirmed here: its tasks are to end, whoever leads. */
-    private void cancelled(String uid) {
-        jobs.cancelled(uid);
-        peers.tellLeader(uid);
+    private void cancelled(String jobId) {
+        jobs.markCancelled(jobId);
+        peerService.notifyLeaderOfCancellation(jobId);
     }
 
     /** Starts; {@code onLeaderKnown} runs whenever this node has come to know who leads, itself or another. */
@@ -108,26 +117,26 @@
 
     public void start() {
         counters.start();
-        leadership.start();
-        loop.after(Constants.RECORD_VERSION_MS, versions::start);
+        election.start();
+        loop.after(Constants.Store.VERSION_RECORD_DELAY_MS, versions::start);
         catalog.start();
-        peers.start();
+        peerService.start();
         probe();
     }
 
     /** Serves users, workers and health checks. */
     public void serve(Http.Request request, Consumer<Http.Response> answer) {
-        leadership.renewIfDue();
+        election.renewIfDue();
         String path = request.path();
         if (path.equals("/checkin")) {
-            heartbeats.handle(request, answer);
-        } else if (Intake.serves(path)) {
+            heartbeatService.handle(request, answer);
+        } else if (JobApi.serves(path)) {
             Consumer<Http.Response> counted = response -> {
                 counters.count(outcome(response.status()));
                 answer.accept(response);
             };
-            if (state.reachable() || !peers.forward(request, counted)) {
-                intake.handle(request, counted);
+            if (store.reachable() || !peerService.forward(request, counted)) {
+                jobApi.handle(request, counted);
             }
         } else if (path.equals("/healthz")) {
             answer.accept(Http.Response.of(healthy() ? 200 : 503, new byte[0]));
@@ -141,14 +150,14 @@
         if (request.path().equals(COUNTERS)) {
             answer.accept(Http.Response.of(200, Json.bytes(status())));
         } else {
-            peers.handle(request, answer);
+            peerService.handle(request, answer);
         }
     }
 
     private static Event outcome(int status) {
         return switch (status) {
             case 200, 201 -> Event.USER_SERVED;
-            case 429 -> Event.USER_BUDGET_SPENT;
+            case 429 -> Event.USER_RATE_LIMITED;
             case 503, 504 -> Event.USER_UNAVAILABLE;
             default -> Event.USER_REFUSED;
         };
@@ -158,14 +167,14 @@
     private ObjectNode status() {
         ObjectNode status = Json.object()
                 .put("node", settings.node())
-                .put("leader", leadership.knownLeader())
-                .put("token", leadership.knownToken())
-                .put("leads", leadership.leads())
-                .put("leadershipValid", leadership.valid())
-                .put("mayLaunch", freshness.mayLaunch())
-                .put("stateReachable", state.reachable())
-                .put("machineTypesKnown", catalog.known());
-        StallMonitor.Situation stalled = leadership.leads() ? stalls.lastSeen() : null;
+                .put("leader", election.knownLeader())
+                .put("token", election.highestKnownToken())
+                .put("leads", election.isLeader())
+                .put("leadershipValid", election.hasValidLease())
+                .put("mayLaunch", staleness.mayLaunch())
+                .put("stateReachable", store.reachable())
+                .put("machineTypesKnown", catalog.isKnown());
+        StallMonitor.Situation stalled = election.isLeader() ? stalls.lastSeen() : null;
         status.put("stalled", stalled == null ? null : stalled.toString());
         status.set("counts", counters.toJson());
         return status;
@@ -173,34 +182,34 @@
 
     /** In an outage common to all, leaving the load balancer helps nobody; a node cut off alone should leave it. */
     private boolean healthy() {
-        return catalog.known() && (state.reachable() || !peers.anyReachesState());
+        return catalog.isKnown() && (store.reachable() || !peerService.anyReachesStore());
     }
 
     private void probe() {
-        state.probe();
-        if (leadership.valid() && heartbeats.deaf() && peers.anyHearsWorkers()) {
-            leadership.resign("no worker comes here, but they do to a peer");
+        store.probe();
+        if (election.hasValidLease() && heartbeatService.workersUnreachable() && peerService.anyReceivesHeartbeats()) {
+            election.stepDownAndBackOff("no worker comes here, but they do to a peer");
         }
-        loop.after(Constants.STATE_PROBE_MS, this::probe);
+        loop.after(Constants.Store.STORE_PROBE_MS, this::probe);
     }
 
     @Override
     public void elected(long token, long keyVersion) {
-        heartbeats.ready(false);
-        fleet.elected(token);
-        cycles.elected(token);
+        heartbeatService.setReady(false);
+        autoscaler.elected(token);
+        scheduler.elected(token);
         leaderKnown.run();
     }
 
     @Override
-    public void follows(String leader) {
+    public void leaderObserved(String leader) {
         leaderKnown.run();
     }
 
     @Override
-    public void deposed(String why) {
-        heartbeats.ready(false);
-        cycles.deposed();
-        fleet.deposed();
+    public void steppedDown(String why) {
+        heartbeatService.setReady(false);
+        scheduler.steppedDown();
+        autoscaler.steppedDown();
     }
 }
--- a/src/main/java/org/spoolline/intake/Ancestors.java
+++ b/src/main/java/org/spoolline/api/AncestorChecker.java
@@ -1,4 +1,4 @@
-package org.spoolline.intake;
+package org.spoolline.api;
 
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -9,7 +9,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.spoolline.net.Loop;
+import org.spoolline.job.JobReader;
+import org.spoolline.job.LruJobCache;
+import org.spoolline.job.StoredJob;
+import org.spoolline.job.TerminalRecord;
+import org.spoolline.net.EventLoop;
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
@@ -18,42 +22,42 @@
  * that the answer does not depend on a leader; that a live job is not cancelled may be remembered for a bounded time,
  * well under {@code cancel_s}, and that one is cancelled or done, for ever.
  */
-final class Ancestors {
+final class AncestorChecker {
     /** What is known of all jobs that one needs, from the weakest finding to the one that decides. */
     enum Verdict {
         /** None was cancelled when it was read. */
         NONE_CANCELLED,
         CANCELLED,
         /** Some could not be read. */
-        OUT_OF_BUDGET,
-        NOT_REACHED,
+        RATE_LIMITED,
+        STORE_UNREACHABLE,
         /** A direct prerequisite was never accepted, or is a service, which never is done. */
-        NEVER_DONE
+        UNSATISFIABLE
     }
 
     /** A live job that was not cancelled when the read was sent, and what it waits for itself. */
-    private record Live(long asOf, List<String> prerequisites, boolean service) {}
+    private record Live(long asOf, List<String> dependencies, boolean service) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final JobReader reader;
     private final long rememberedMs;
-    private final Map<String, Live> live = new RecentlyUsed<>();
+    private final Map<String, Live> live = new LruJobCache<>();
     /** Jobs seen cancelled while live; nothing undoes that. */
-    private final Map<String, Boolean> cancelled = new RecentlyUsed<>();
+    private final Map<String, Boolean> cancelled = new LruJobCache<>();
 
-    Ancestors(Loop loop, JobReader reader, long rememberedMs) {
+    AncestorChecker(EventLoop loop, JobReader reader, long rememberedMs) {
         this.loop = loop;
         this.reader = reader;
         this.rememberedMs = rememberedMs;
     }
 
     /** A job's live value as it was in the state service when a request sent then was answered. */
-    void seen(Pipeline job, long asOf) {
+    void observe(Pipeline job, long asOf) {
         if (job.cancelled()) {
-            cancelled.put(job.uid(), true);
+            cancelled.put(job.jobId(), true);
         } else {
             boolean service = job.spec().shape() == Submission.Shape.SERVICE;
-            live.put(job.uid(), new Live(asOf, job.spec().prerequisites(), service));
+            live.put(job.jobId(), new Live(asOf, job.spec().dependencies(), service));
         }
     }
 
@@ -88,9 +92,9 @@
             }
             visiting = true;
             while (!toVisit.isEmpty()) {
-                String uid = toVisit.remove();
-                if (visited.add(uid)) {
-                    visit(uid);
+                String jobId = toVisit.remove();
+                if (visited.add(jobId)) {
+                    visit(jobId);
                 }
             }
             visiting = false;
@@ -99,33 +103,33 @@
             }
         }
 
-        private void visit(String uid) {
-            FinalRecord record = reader.knownRecord(uid);
-            Live known = live.get(uid);
-            if (cancelled.containsKey(uid) || record != null && !record.done()) {
+        private void visit(String jobId) {
+            TerminalRecord record = reader.cachedRecord(jobId);
+            Live known = live.get(jobId);
+            if (cancelled.containsKey(jobId) || record != null && !record.done()) {
                 note(Verdict.CANCELLED);
             } else if (record == null && known != null && loop.now() - known.asOf() < rememberedMs) {
-                visitPrerequisites(uid, known);
+                visitPrerequisites(jobId, known);
             } else if (record == null) {
-                read(uid);
+                read(jobId);
             }
         }
 
-        private void visitPrerequisites(String uid, Live known) {
-            if (known.service() && direct.contains(uid)) {
-                note(Verdict.NEVER_DONE);
+        private void visitPrerequisites(String jobId, Live known) {
+            if (known.service() && direct.contains(jobId)) {
+                note(Verdict.UNSATISFIABLE);
             }
-            toVisit.addAll(known.prerequisites());
+            toVisit.addAll(known.dependencies());
         }
 
-        private void read(String uid) {
+        private void read(String jobId) {
             underWay++;
             long sent = loop.now();
             reader.read(
-                    uid,
+                    jobId,
                     job -> {
                         underWay--;
-                        found(uid, job, sent);
+                        found(jobId, job, sent);
                         goOn();
                     },
                     failure -> {
@@ -136,21 +140,21 @@
         }
 
         private static Verdict verdictOf(JobReader.Failure failure) {
-            return failure == JobReader.Failure.OUT_OF_BUDGET ? Verdict.OUT_OF_BUDGET : Verdict.NOT_REACHED;
+            return failure == JobReader.Failure.RATE_LIMITED ? Verdict.RATE_LIMITED : Verdict.STORE_UNREACHABLE;
         }
 
-        private void found(String uid, StoredJob job, long sent) {
+        private void found(String jobId, StoredJob job, long sent) {
             if (job.live() != null) {
                 Pipeline value = Pipeline.decode(job.live());
-                seen(value, sent);
+                observe(value, sent);
                 if (value.cancelled()) {
                     note(Verdict.CANCELLED);
                 } else {
-                    visitPrerequisites(uid, live.get(uid));
+                    visitPrerequisites(jobId, live.get(jobId));
                 }
-            } else if (job.last() == null) {
-                note(Verdict.NEVER_DONE);
-            } else if (!job.last().done()) {
+            } else if (job.terminal() == null) {
+                note(Verdict.UNSATISFIABLE);
+            } else if (!job.terminal().done()) {
                 note(Verdict.CANCELLED);
             }
         }
--- a/src/main/java/org/spoolline/intake/Intake.java
+++ b/src/main/java/org/spoolline/api/JobApi.java
@@ -1,4 +1,4 @@
-package org.spoolline.intake;
+package org.spoolline.api;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -8,41 +8,45 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.spoolline.fleet.Catalog;
-import org.spoolline.fleet.MachineType;
+import org.spoolline.cluster.MachineType;
+import org.spoolline.cluster.MachineTypeCatalog;
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.job.JobKeys;
+import org.spoolline.job.JobReader;
+import org.spoolline.job.LruJobCache;
+import org.spoolline.job.StoredJob;
+import org.spoolline.job.TerminalRecord;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
-import org.spoolline.net.Loop;
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 import org.spoolline.pipeline.SubmissionCodec;
-import org.spoolline.placement.SchedulingCycles;
-import org.spoolline.settings.Constants;
-import org.spoolline.settings.Settings;
-import org.spoolline.state.StateClient;
 import org.spoolline.upgrade.VersionRegistry;
 
 /**
  * The users' side. Any node serves it by committing to the state service itself, and answers only what is committed.
  * Reads look at the live value, then at the lasting record: a job moves between them in this direction only.
  */
-public final class Intake {
-    private static final Logger LOG = LoggerFactory.getLogger(Intake.class);
+public final class JobApi {
+    private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
     private static final String PATH = "/submissions";
     private static final String ABORT = "/abort";
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final StateClient state;
-    private final Catalog catalog;
-    private final Consumer<String> cancelled;
+    private final KeyValueStoreClient store;
+    private final MachineTypeCatalog catalog;
+    private final Consumer<String> onCancelled;
     private final JobReader reader;
-    private final Ancestors ancestors;
+    private final AncestorChecker ancestorChecker;
     private final VersionRegistry versions;
     /** When polls about jobs were last answered here. */
-    private final Map<String, Long> answeredAt = new RecentlyUsed<>();
+    private final Map<String, Long> answeredAt = new LruJobCache<>();
     /** Jobs that were live when last read here. */
-    private final Map<String, Known> live = new RecentlyUsed<>();
+    private final Map<String, Known> live = new LruJobCache<>();
     /** Polls that one transaction without changes is to settle. */
     private final List<Poll> polls = new ArrayList<>();
 
@@ -50,26 +54,26 @@
      * What was last answered about a live job, the version of the value that said so, and the jobs that it waits for: as
      * long as there are any, the answer holds only if none of them is cancelled.
      */
-    private record Known(long version, byte[] body, List<String> prerequisites) {}
+    private record Known(long version, byte[] body, List<String> dependencies) {}
 
-    private record Poll(String uid, Known known, Consumer<Http.Response> answer) {}
+    private record Poll(String jobId, Known known, Consumer<Http.Response> answer) {}
 
-    /** {@code cancelled} hears of each cancellation that is confirmed here. */
-    public Intake(
-            Loop loop,
+    /** {@code onCancelled} hears of each cancellation that is confirmed here. */
+    public JobApi(
+            EventLoop loop,
             Settings settings,
-            StateClient state,
-            Catalog catalog,
+            KeyValueStoreClient store,
+            MachineTypeCatalog catalog,
             VersionRegistry versions,
             Consumer<String> cancelled) {
         this.loop = loop;
         this.settings = settings;
-        this.state = state;
+        this.store = store;
         this.catalog = catalog;
         this.versions = versions;
-        reader = new JobReader(state);
-        ancestors = new Ancestors(loop, reader, settings.ancestorsRememberedMs());
-        this.cancelled = cancelled;
+        reader = new JobReader(store);
+        ancestorChecker = new AncestorChecker(loop, reader, settings.ancestorCacheMs());
+        this.onCancelled = cancelled;
     }
 
     /** True for paths that belong here. */
@@ -89,13 +93,13 @@
         }
         String rest = path.substring(PATH.length() + 1);
         boolean abort = rest.endsWith(ABORT);
-        String uid = abort ? rest.substring(0, rest.length() - ABORT.length()) : rest;
-        if (!SubmissionCodec.validUid(uid)) {
+        String jobId = abort ? rest.substring(0, rest.length() - ABORT.length()) : rest;
+        if (!SubmissionCodec.isValidJobId(jobId)) {
             answer.accept(Http.Response.of(404, Json.error("no such job")));
         } else if (abort && request.method().equals("POST")) {
-            cancel(uid, Constants.CANCEL_TRIES, answer);
+            cancel(jobId, Constants.Api.CANCEL_TRIES, answer);
         } else if (!abort && request.method().equals("GET")) {
-            poll(uid, answer);
+            poll(jobId, answer);
         } else {
             answer.accept(Http.Response.of(405, Json.error("method not allowed")));
         }
@@ -110,149 +114,149 @@
             answer.accept(Http.Response.of(400, Json.error("malformed: " + e.getMessage())));
             return;
         }
-        FinalRecord record = reader.knownRecord(job.uid());
+        TerminalRecord record = reader.cachedRecord(job.jobId());
         if (record != null) {
-            answer.accept(Http.Response.of(200, over(job.uid(), record)));
+            answer.accept(Http.Response.of(200, terminalStatus(job.jobId(), record)));
             return;
         }
-        if (!catalog.known()) {
+        if (!catalog.isKnown()) {
             unavailable(answer);
             return;
         }
-        String never = neverRuns(job);
+        String never = whyUnsatisfiable(job);
         Pipeline pipeline = Pipeline.accept(job, SubmissionCodec.encode(job), loop.timeOfDay());
         if (never != null) {
-            turnAway(job, 422, never, answer);
+            reject(job, 422, never, answer);
         } else if (Json.bytes(pipeline.encode()).length > longestDescription(job)) {
-            turnAway(job, 400, "malformed: the description is over " + longestDescription(job) + " bytes", answer);
-        } else if (job.prerequisites().isEmpty()) {
+            reject(job, 400, "malformed: the description is over " + longestDescription(job) + " bytes", answer);
+        } else if (job.dependencies().isEmpty()) {
             accept(pipeline, answer);
         } else {
-            submitWaiting(pipeline, answer);
+            submitWithDependencies(pipeline, answer);
         }
     }
 
     /** A job accepted before must not be turned away now, whatever this node thinks of it. */
-    private void turnAway(Submission job, int status, String why, Consumer<Http.Response> answer) {
-        describeKnown(job.uid(), answer, () -> answer.accept(Http.Response.of(status, Json.error(why))));
+    private void reject(Submission job, int status, String why, Consumer<Http.Response> answer) {
+        answerStatusIfAccepted(job.jobId(), answer, () -> answer.accept(Http.Response.of(status, Json.error(why))));
     }
 
     /** Bytes of a new value: attempts need the rest, and a job that waits has none until its prerequisites are dropped. */
     private int longestDescription(Submission job) {
-        double share = job.prerequisites().isEmpty() ? Constants.DESCRIPTION_SHARE : Constants.VALUE_FILL;
-        return (int) (state.lastingValueBytes() * share);
+        double share = job.dependencies().isEmpty() ? Constants.Job.DESCRIPTION_SHARE : Constants.Job.VALUE_FILL;
+        return (int) (store.safeValueBytes() * share);
     }
 
     /** A job with prerequisites is accepted once all controllers can read such a job and all that it needs were accepted. */
-    private void submitWaiting(Pipeline pipeline, Consumer<Http.Response> answer) {
+    private void submitWithDependencies(Pipeline pipeline, Consumer<Http.Response> answer) {
         versions.ask(controllers -> {
             if (controllers == VersionRegistry.Answer.ALL_UPGRADED) {
-                checkPrerequisites(pipeline, answer);
+                checkDependencies(pipeline, answer);
             } else {
                 unavailable(answer);
             }
         });
     }
 
-    private void checkPrerequisites(Pipeline pipeline, Consumer<Http.Response> answer) {
-        ancestors.check(pipeline.spec().prerequisites(), verdict -> {
+    private void checkDependencies(Pipeline pipeline, Consumer<Http.Response> answer) {
+        ancestorChecker.check(pipeline.spec().dependencies(), verdict -> {
             switch (verdict) {
                 case NONE_CANCELLED -> accept(pipeline, answer);
                 case CANCELLED -> {
                     pipeline.cancel();
                     accept(pipeline, answer);
                 }
-                case NEVER_DONE -> turnAway(
+                case UNSATISFIABLE -> reject(
                         pipeline.spec(), 422, "waitsOn names a job that was never accepted, or a service", answer);
-                case OUT_OF_BUDGET -> busy(answer);
-                case NOT_REACHED -> unavailable(answer);
+                case RATE_LIMITED -> rateLimited(answer);
+                case STORE_UNREACHABLE -> unavailable(answer);
             }
         });
     }
 
     private void accept(Pipeline pipeline, Consumer<Http.Response> answer) {
-        if (!state.admit(1)) {
-            busy(answer);
+        if (!store.tryAcquire(1)) {
+            rateLimited(answer);
             return;
         }
-        String uid = pipeline.uid();
+        String jobId = pipeline.jobId();
         long sent = loop.now();
-        StateClient.Txn txn = new StateClient.Txn()
-                .require(SchedulingCycles.JOBS + uid, 0)
-                .require(SchedulingCycles.FINALS + uid, 0)
-                .put(SchedulingCycles.JOBS + uid, pipeline.encode());
-        state.commit(txn, outcome -> {
-            switch (outcome.fate()) {
+        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+                .requireVersion(JobKeys.live(jobId), 0)
+                .requireVersion(JobKeys.terminal(jobId), 0)
+                .put(JobKeys.live(jobId), pipeline.encode());
+        store.commit(transaction, result -> {
+            switch (result.outcome()) {
                 case APPLIED -> {
                     Submission job = pipeline.spec();
-                    LOG.info("accepted {}: {} of {}, {} tasks", uid, job.jobClass(), job.team(), job.tasks());
-                    ancestors.seen(pipeline, sent);
-                    answer.accept(Http.Response.of(201, pipeline.cancelled() ? aborted(uid) : pending(uid)));
+                    LOG.info("accepted {}: {} of {}, {} tasks", jobId, job.jobClass(), job.team(), job.tasks());
+                    ancestorChecker.observe(pipeline, sent);
+                    answer.accept(Http.Response.of(201, pipeline.cancelled() ? aborted(jobId) : pending(jobId)));
                 }
-                case CONFLICT -> describeKnown(uid, answer, () -> unavailable(answer));
+                case CONFLICT -> answerStatusIfAccepted(jobId, answer, () -> unavailable(answer));
                 default -> unavailable(answer);
             }
         });
     }
 
     /** Why the job can never run, or null. */
-    private String neverRuns(Submission job) {
+    private String whyUnsatisfiable(Submission job) {
         Settings.Team team = settings.teams().get(job.team());
         if (team == null) {
             return "unknown team " + job.team();
         }
         int atOnce = job.gang() ? job.tasks() : 1;
-        if (job.prerequisites().contains(job.uid())) {
+        if (job.dependencies().contains(job.jobId())) {
             return "the job waits on itself";
         }
-        if (job.cores() * atOnce > team.coresMax() + 1e-6
-                || job.accelerators() * atOnce > team.acceleratorsMax() + 1e-6) {
+        if (job.cores() * atOnce > team.maxCores() + 1e-6
+                || job.accelerators() * atOnce > team.maxAccelerators() + 1e-6) {
             return "over the limit of team " + job.team();
         }
         List<MachineType> suited =
-                catalog.types().values().stream().filter(t -> t.suits(job)).toList();
+                catalog.types().values().stream().filter(t -> t.canRun(job)).toList();
         if (suited.isEmpty()) {
             return "a task fits no allowed machine type";
         }
         // At most half of the tasks may be in one zone, and all of a gang's run at the same time.
-        long zones = job.oneZone() || job.zone() != null
+        long zones = job.singleZone() || job.zone() != null
                 ? 1
                 : suited.stream().flatMap(t -> t.zones().stream()).distinct().count();
-        return job.gang() && job.spread() && job.tasks() > 1 && zones < 2
+        return job.gang() && job.spreadAcrossZones() && job.tasks() > 1 && zones < 2
                 ? "a gang can't be spread over one zone"
                 : null;
     }
 
-    private void poll(String uid, Consumer<Http.Response> answer) {
-        FinalRecord record = reader.knownRecord(uid);
+    private void poll(String jobId, Consumer<Http.Response> answer) {
+        TerminalRecord record = reader.cachedRecord(jobId);
         if (record != null) {
-            answer.accept(Http.Response.of(200, over(uid, record)));
+            answer.accept(Http.Response.of(200, terminalStatus(jobId, record)));
             return;
         }
-        if (state.fewRequestsLeft() && live.containsKey(uid)) {
-            polls.add(new Poll(uid, live.get(uid), answer));
-            if (polls.size() >= state.conditions()) {
+        if (store.requestBudgetLow() && live.containsKey(jobId)) {
+            polls.add(new Poll(jobId, live.get(jobId), answer));
+            if (polls.size() >= store.maxConditions()) {
                 confirm();
             } else if (polls.size() == 1) {
-                loop.after(Constants.POLLS_GATHER_MS, this::confirm);
+                loop.after(Constants.Api.STATUS_BATCH_MS, this::confirm);
             }
             return;
         }
-        read(uid, answer);
+        read(jobId, answer);
     }
 
-    private void read(String uid, Consumer<Http.Response> answer) {
-        if (state.fewRequestsLeft()
-                && loop.now() - answeredAt.getOrDefault(uid, Long.MIN_VALUE / 2) < Constants.POLL_TURN_MS) {
+    private void read(String jobId, Consumer<Http.Response> answer) {
+        if (store.requestBudgetLow()
+                && loop.now() - answeredAt.getOrDefault(jobId, Long.MIN_VALUE / 2) < Constants.Api.STATUS_TURN_MS) {
             // By chance alone some jobs would go without any answer for minutes while others get one each time.
-            busy(answer);
+            rateLimited(answer);
             return;
         }
-        describeKnown(uid, answer, () -> answer.accept(Http.Response.of(404, Json.error("no such job"))));
+        answerStatusIfAccepted(jobId, answer, () -> answer.accept(Http.Response.of(404, Json.error("no such job"))));
     }
 
-    private void answered(String uid, byte[] body, Consumer<Http.Response> answer) {
-        answeredAt.put(uid, loop.now());
+    private void answered(String jobId, byte[] body, Consumer<Http.Response> answer) {
+        answeredAt.put(jobId, loop.now());
         answer.accept(Http.Response.of(200, body));
     }
 
@@ -266,56 +270,57 @@
         }
         List<Poll> batch = List.copyOf(polls);
         polls.clear();
-        if (!state.admit(0)) {
-            batch.forEach(p -> busy(p.answer()));
+        if (!store.tryAcquire(0)) {
+            batch.forEach(p -> rateLimited(p.answer()));
             return;
         }
-        StateClient.Txn txn = new StateClient.Txn();
-        batch.forEach(
-                p -> txn.require(SchedulingCycles.JOBS + p.uid(), p.known().version()));
-        state.commit(txn, outcome -> {
-            Set<String> changed = Set.copyOf(outcome.failed());
+        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction();
+        batch.forEach(p ->
+                transaction.requireVersion(JobKeys.live(p.jobId()), p.known().version()));
+        store.commit(transaction, result -> {
+            Set<String> changed = Set.copyOf(result.failedKeys());
             for (Poll poll : batch) {
-                if (outcome.fate() != StateClient.Fate.APPLIED && outcome.fate() != StateClient.Fate.CONFLICT) {
+                if (result.outcome() != KeyValueStoreClient.CommitOutcome.APPLIED
+                        && result.outcome() != KeyValueStoreClient.CommitOutcome.CONFLICT) {
                     unavailable(poll.answer());
-                } else if (changed.contains(SchedulingCycles.JOBS + poll.uid())) {
-                    live.remove(poll.uid());
-                    read(poll.uid(), poll.answer());
+                } else if (changed.contains(JobKeys.live(poll.jobId()))) {
+                    live.remove(poll.jobId());
+                    read(poll.jobId(), poll.answer());
                 } else {
-                    answerLive(poll.uid(), poll.known(), poll.answer());
+                    answerLive(poll.jobId(), poll.known(), poll.answer());
                 }
             }
         });
     }
 
-    private void cancel(String uid, int tries, Consumer<Http.Response> answer) {
-        lookUp(uid, answer, stored -> {
-            if (!stored.known()) {
+    private void cancel(String jobId, int tries, Consumer<Http.Response> answer) {
+        lookUp(jobId, answer, stored -> {
+            if (!stored.accepted()) {
                 answer.accept(Http.Response.of(404, Json.error("no such job")));
                 return;
             }
-            if (stored.last() != null) {
-                answer.accept(Http.Response.of(200, over(uid, stored.last())));
+            if (stored.terminal() != null) {
+                answer.accept(Http.Response.of(200, terminalStatus(jobId, stored.terminal())));
                 return;
             }
             Pipeline pipeline = Pipeline.decode(stored.live());
             if (pipeline.cancelled()) {
-                confirmCancelled(uid, answer);
+                confirmCancelled(jobId, answer);
                 return;
             }
-            if (!state.admit(1)) {
-                busy(answer);
+            if (!store.tryAcquire(1)) {
+                rateLimited(answer);
                 return;
             }
-            StateClient.Txn txn = new StateClient.Txn()
-                    .require(SchedulingCycles.JOBS + uid, stored.version())
-                    .put(SchedulingCycles.JOBS + uid, cancelledValue(pipeline));
-            state.commit(txn, outcome -> {
-                if (outcome.fate() == StateClient.Fate.APPLIED) {
-                    LOG.info("cancelled {}", uid);
-                    confirmCancelled(uid, answer);
-                } else if (triedAgain(outcome.fate()) && tries > 1) {
-                    cancel(uid, tries - 1, answer);
+            KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+                    .requireVersion(JobKeys.live(jobId), stored.version())
+                    .put(JobKeys.live(jobId), cancelledValue(pipeline));
+            store.commit(transaction, result -> {
+                if (result.outcome() == KeyValueStoreClient.CommitOutcome.APPLIED) {
+                    LOG.info("cancelled {}", jobId);
+                    confirmCancelled(jobId, answer);
+                } else if (triedAgain(result.outcome()) && tries > 1) {
+                    cancel(jobId, tries - 1, answer);
                 } else {
                     unavailable(answer);
                 }
@@ -327,28 +332,29 @@
     private ObjectNode cancelledValue(Pipeline pipeline) {
         pipeline.cancel();
         ObjectNode value = pipeline.encode();
-        if (Json.bytes(value).length > state.limits().valueBytes()) {
-            pipeline.cancelUnlisted();
+        if (Json.bytes(value).length > store.limits().valueBytes()) {
+            pipeline.cancelWithUnlistedAttempts();
             value = pipeline.encode();
         }
         return value;
     }
 
     /** A newer value was met, or announced limits were found to be in force: another try fares better. */
-    private static boolean triedAgain(StateClient.Fate fate) {
-        return fate == StateClient.Fate.CONFLICT || fate == StateClient.Fate.TOO_LARGE;
+    private static boolean triedAgain(KeyValueStoreClient.CommitOutcome fate) {
+        return fate == KeyValueStoreClient.CommitOutcome.CONFLICT
+                || fate == KeyValueStoreClient.CommitOutcome.TOO_LARGE;
     }
 
-    private void confirmCancelled(String uid, Consumer<Http.Response> answer) {
-        cancelled.accept(uid);
-        answer.accept(Http.Response.of(200, aborted(uid)));
+    private void confirmCancelled(String jobId, Consumer<Http.Response> answer) {
+        onCancelled.accept(jobId);
+        answer.accept(Http.Response.of(200, aborted(jobId)));
     }
 
     /** Reads a job from the truth; the answer is given here when that can't be done. */
-    private void lookUp(String uid, Consumer<Http.Response> answer, Consumer<StoredJob> found) {
-        reader.read(uid, found, failure -> {
-            if (failure == JobReader.Failure.OUT_OF_BUDGET) {
-                busy(answer);
+    private void lookUp(String jobId, Consumer<Http.Response> answer, Consumer<StoredJob> found) {
+        reader.read(jobId, found, failure -> {
+            if (failure == JobReader.Failure.RATE_LIMITED) {
+                rateLimited(answer);
             } else {
                 unavailable(answer);
             }
@@ -356,10 +362,10 @@
     }
 
     /** Answers with what is stored of the job, or leaves the answer to {@code unknown} where it was never accepted. */
-    private void describeKnown(String uid, Consumer<Http.Response> answer, Runnable unknown) {
-        lookUp(uid, answer, stored -> {
-            if (stored.known()) {
-                describe(uid, stored, answer);
+    private void answerStatusIfAccepted(String jobId, Consumer<Http.Response> answer, Runnable unknown) {
+        lookUp(jobId, answer, stored -> {
+            if (stored.accepted()) {
+                answerStatus(jobId, stored, answer);
             } else {
                 unknown.run();
             }
@@ -367,68 +373,68 @@
     }
 
     /** Answers with the state of a job that is known. */
-    private void describe(String uid, StoredJob stored, Consumer<Http.Response> answer) {
-        if (stored.last() != null) {
-            live.remove(uid);
-            answered(uid, over(uid, stored.last()), answer);
+    private void answerStatus(String jobId, StoredJob stored, Consumer<Http.Response> answer) {
+        if (stored.terminal() != null) {
+            live.remove(jobId);
+            answered(jobId, terminalStatus(jobId, stored.terminal()), answer);
             return;
         }
         Pipeline pipeline = Pipeline.decode(stored.live());
         int running = pipeline.attempts().size();
         byte[] body = pipeline.cancelled()
-                ? aborted(uid)
+                ? aborted(jobId)
                 : Json.bytes(Json.object()
-                        .put("uid", uid)
+                        .put("uid", jobId)
                         .put("status", running > 0 ? "running" : "pending")
-                        .put("done", pipeline.doneCount())
+                        .put("done", pipeline.completedTasks())
                         .put("running", running));
         List<String> prerequisites =
-                pipeline.cancelled() ? List.of() : pipeline.spec().prerequisites();
+                pipeline.cancelled() ? List.of() : pipeline.spec().dependencies();
         Known known = new Known(stored.version(), body, prerequisites);
-        live.put(uid, known);
-        answerLive(uid, known, answer);
+        live.put(jobId, known);
+        answerLive(jobId, known, answer);
     }
 
     /**
      * A job that waits is cancelled with any job that it needs, also while no leader has written so. The cancellation is
      * committed before it is told: other nodes may remember for a while that no prerequisite was cancelled.
      */
-    private void answerLive(String uid, Known known, Consumer<Http.Response> answer) {
-        if (known.prerequisites().isEmpty()) {
-            answered(uid, known.body(), answer);
+    private void answerLive(String jobId, Known known, Consumer<Http.Response> answer) {
+        if (known.dependencies().isEmpty()) {
+            answered(jobId, known.body(), answer);
             return;
         }
-        ancestors.check(known.prerequisites(), verdict -> {
+        ancestorChecker.check(known.dependencies(), verdict -> {
             switch (verdict) {
-                case NONE_CANCELLED -> answered(uid, known.body(), answer);
-                case CANCELLED -> cancel(uid, Constants.CANCEL_TRIES, answer);
-                case OUT_OF_BUDGET -> busy(answer);
+                case NONE_CANCELLED -> answered(jobId, known.body(), answer);
+                case CANCELLED -> cancel(jobId, Constants.Api.CANCEL_TRIES, answer);
+                case RATE_LIMITED -> rateLimited(answer);
                 default -> unavailable(answer);
             }
         });
     }
 
-    private static byte[] over(String uid, FinalRecord record) {
+    private static byte[] terminalStatus(String jobId, TerminalRecord record) {
         return Json.bytes(Json.object()
-                .put("uid", uid)
+                .put("uid", jobId)
                 .put("status", record.done() ? "done" : "aborted")
-                .put("done", record.doneTasks())
+                .put("done", record.completedTasks())
                 .put("running", 0));
     }
 
-    private static byte[] pending(String uid) {
-        return Json.bytes(Json.object().put("uid", uid).put("status", "pending"));
+    private static byte[] pending(String jobId) {
+        return Json.bytes(Json.object().put("uid", jobId).put("status", "pending"));
     }
 
-    private static byte[] aborted(String uid) {
-        return Json.bytes(Json.object().put("uid", uid).put("status", "aborted"));
+    private static byte[] aborted(String jobId) {
+        return Json.bytes(Json.object().put("uid", jobId).put("status", "aborted"));
     }
 
     private static void unavailable(Consumer<Http.Response> answer) {
-        answer.accept(new Http.Response(503, Json.error("not now"), Constants.RETRY_AFTER_S));
+        answer.accept(new Http.Response(503, Json.error("not now"), Constants.Api.RETRY_AFTER_S));
     }
 
-    private static void busy(Consumer<Http.Response> answer) {
-        answer.accept(new Http.Response(429, Json.error("too many requests"), Constants.RETRY_AFTER_S));
+    private static void rateLimited(Consumer<Http.Response> answer) {
+        answer.accept(new Http.Response(429, Json.error("too many requests"), Constants.Api.RETRY_AFTER_S));
     }
 }
--- a/src/main/java/org/spoolline/fleet/RentalPlan.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
@@ -1,4 +1,4 @@
-package org.spoolline.fleet;
+package org.spoolline.autoscaler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,11 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
+import org.spoolline.cluster.Capacity;
+import org.spoolline.cluster.MachineType;
+import org.spoolline.cluster.ResourceDemand;
 import org.spoolline.pipeline.Submission;
-import org.spoolline.placement.Placer;
 
 /** Decides what to rent for the tasks that found no room. Pure. */
-public final class RentalPlan {
+public final class ScaleOutPlanner {
     /** A kind of machine in a zone. */
     public record Offer(String type, String zone, boolean spot) {
         /** Written out, see {@link org.spoolline.pipeline.Attempt#equals}. */
@@ -25,33 +27,36 @@
         }
     }
 
-    private RentalPlan() {}
+    private ScaleOutPlanner() {}
 
     /** How many machines of each offer to rent, given the machines on their way. */
     public static Map<Offer, Integer> plan(
-            List<Placer.Want> wants, List<Offer> coming, Map<String, MachineType> types, Predicate<Offer> available) {
-        List<Room> rooms = new ArrayList<>();
+            List<ResourceDemand> wants,
+            List<Offer> coming,
+            Map<String, MachineType> types,
+            Predicate<Offer> available) {
+        List<Capacity> rooms = new ArrayList<>();
         for (Offer o : coming) {
             MachineType type = types.get(o.type());
             if (type != null) {
-                rooms.add(new Room(type, o.zone(), o.spot()));
+                rooms.add(new Capacity(type, o.zone(), o.spot()));
             }
         }
         Map<Offer, Integer> rent = new LinkedHashMap<>();
-        for (Placer.Want want : wants) {
-            Submission job = want.job().spec();
-            int left = want.tasks();
-            for (Room room : rooms) {
-                left -= fill(room, job, left);
+        for (ResourceDemand demand : wants) {
+            Submission job = demand.job().spec();
+            int left = demand.tasks();
+            for (Capacity capacity : rooms) {
+                left -= fill(capacity, job, left);
             }
             while (left > 0) {
                 Offer offer = best(job, left, types, available);
                 if (offer == null) {
                     break;
                 }
-                Room room = new Room(types.get(offer.type()), offer.zone(), offer.spot());
-                left -= fill(room, job, left);
-                rooms.add(room);
+                Capacity capacity = new Capacity(types.get(offer.type()), offer.zone(), offer.spot());
+                left -= fill(capacity, job, left);
+                rooms.add(capacity);
                 rent.merge(offer, 1, Integer::sum);
             }
         }
@@ -59,10 +64,10 @@
     }
 
     /** Takes room for up to so many tasks; returns for how many there was. */
-    private static int fill(Room room, Submission job, int tasks) {
+    private static int fill(Capacity capacity, Submission job, int tasks) {
         int taken = 0;
-        while (taken < tasks && room.allows(job) && room.fits(job)) {
-            room.take(job);
+        while (taken < tasks && capacity.permits(job) && capacity.fits(job)) {
+            capacity.allocate(job);
             taken++;
         }
         return taken;
@@ -74,7 +79,7 @@
         record Scored(Offer offer, double cost, double bootS) {}
         List<Scored> scored = new ArrayList<>();
         for (MachineType type : types.values()) {
-            int fits = Math.min(left, type.suits(job) ? type.fits(job) : 0);
+            int fits = Math.min(left, type.canRun(job) ? type.tasksPerMachine(job) : 0);
             if (fits == 0) {
                 continue;
             }
@@ -84,7 +89,7 @@
                 }
                 for (boolean spot : new boolean[] {true, false}) {
                     Offer offer = new Offer(type.name(), zone, spot);
-                    if ((job.spot() || !spot) && available.test(offer)) {
+                    if ((job.allowsSpot() || !spot) && available.test(offer)) {
                         double price = spot ? type.spotPrice() : type.price();
                         scored.add(new Scored(offer, price / fits, type.bootS()));
                     }
--- /dev/null
+++ b/src/main/java/org/spoolline/autoscaler/package-info.java
@@ -0,0 +1,2 @@
+/** Scale out and scale in: which machines to acquire for unmet demand, and which to release. */
+package org.spoolline.autoscaler;
--- a/src/main/java/org/spoolline/cli/Rehearsal.java
+++ b/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.spoolline.net.Guard;
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.config.SettingsException;
+import org.spoolline.config.SettingsFile;
+import org.spoolline.net.ExceptionBoundary;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 import org.spoolline.net.UndertowCaller;
 import org.spoolline.net.UndertowServer;
-import org.spoolline.net.XnioLoop;
-import org.spoolline.settings.Constants;
-import org.spoolline.settings.Settings;
-import org.spoolline.settings.SettingsException;
-import org.spoolline.settings.SettingsFile;
+import org.spoolline.net.XnioEventLoop;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
@@ -28,7 +28,7 @@
  * Serves a few requests against canned outside answers on loopback, then ends. The build runs it to record which
  * classes a serving node loads, for the class data archive that shortens every start.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
     private static final String JOB =
             """
             {"uid":"run-000001","lane":"a","desk":"t","shape":"batch","urgency":"standard","slips":2,"cores":1.0,
@@ -37,7 +37,7 @@
 
     private final CountDownLatch over = new CountDownLatch(1);
     private int heartbeats;
-    private XnioLoop loop;
+    private XnioEventLoop loop;
     private UndertowCaller caller;
     private String node;
 
@@ -95,10 +95,10 @@
         XnioWorker worker = Main.worker();
         XnioIoThread thread = worker.getIoThread();
         DefaultByteBufferPool buffers = Main.buffers();
-        Guard guard = Main.guard();
-        loop = new XnioLoop(thread, guard);
-        caller = new UndertowCaller(thread, buffers, settings.idleConnections(), guard);
-        new UndertowServer(worker, buffers, settings.backlog(), guard).listen(outside, this::outside);
+        ExceptionBoundary boundary = Main.guard();
+        loop = new XnioEventLoop(thread, boundary);
+        caller = new UndertowCaller(thread, buffers, settings.idleConnections(), boundary);
+        new UndertowServer(worker, buffers, settings.backlog(), boundary).listen(outside, this::outside);
         Main.start(settings, worker);
         thread.execute(() -> {
             loop.after(600, () -> ask("POST", "/submissions", JOB.getBytes(StandardCharsets.UTF_8)));
@@ -124,11 +124,11 @@
     }
 
     private void ask(String method, String path, byte[] body) {
-        caller.call(node, method, path, body, Constants.STATE_TIMEOUT_MS, reply -> {});
+        caller.call(node, method, path, body, Constants.Store.STORE_TIMEOUT_MS, reply -> {});
     }
 
     private void checkIn() {
-        if (++heartbeats > Constants.REHEARSED_CHECK_INS) {
+        if (++heartbeats > Constants.Process.TRAINING_HEARTBEATS) {
             over.countDown();
             return;
         }
@@ -141,7 +141,7 @@
                 .put("shift", 1)
                 .put("tick", heartbeats)
                 .put("baton", 1);
-        if (heartbeats > Constants.REHEARSED_CHECK_INS / 2) {
+        if (heartbeats > Constants.Process.TRAINING_HEARTBEATS / 2) {
             report.putArray("slips")
                     .addObject()
                     .put("slip", "run-000001/0")
@@ -154,7 +154,7 @@
                 "POST",
                 "/checkin",
                 Json.bytes(report),
-                Constants.STATE_TIMEOUT_MS,
+                Constants.Store.STORE_TIMEOUT_MS,
                 reply -> loop.after(100, this::checkIn));
     }
 
--- a/src/main/java/org/spoolline/cli/Main.java
+++ b/src/main/java/org/spoolline/cli/Main.java
@@ -12,18 +12,18 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.simple.SimpleServiceProvider;
 import org.spoolline.Controller;
-import org.spoolline.net.Guard;
+import org.spoolline.config.Constants;
+import org.spoolline.config.OperatorSettings;
+import org.spoolline.config.Settings;
+import org.spoolline.config.SettingsException;
+import org.spoolline.config.SettingsFile;
+import org.spoolline.net.DisabledJmx;
+import org.spoolline.net.EventLoop;
+import org.spoolline.net.ExceptionBoundary;
 import org.spoolline.net.Http;
-import org.spoolline.net.Loop;
-import org.spoolline.net.NoManagement;
 import org.spoolline.net.UndertowCaller;
 import org.spoolline.net.UndertowServer;
-import org.spoolline.net.XnioLoop;
-import org.spoolline.settings.Constants;
-import org.spoolline.settings.OperatorSettings;
-import org.spoolline.settings.Settings;
-import org.spoolline.settings.SettingsException;
-import org.spoolline.settings.SettingsFile;
+import org.spoolline.net.XnioEventLoop;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.XnioIoThread;
@@ -64,7 +64,7 @@
 
     public static void main(String[] args) {
         String level = logLevel(System.getenv("LOG_LEVEL"));
-        System.getProperties().putIfAbsent("javax.management.builder.initial", NoManagement.class.getName());
+        System.getProperties().putIfAbsent("javax.management.builder.initial", DisabledJmx.class.getName());
         System.setProperty("jboss.threads.eqe.register-mbean", "false");
         // Formatting a number in a locale other than this one loads the locale data of the whole platform.
         Locale.setDefault(Locale.US);
@@ -104,12 +104,12 @@
 
     @Override
     public Integer call() throws IOException, SettingsException, InterruptedException {
-        return rehearse ? new Rehearsal().play() ? 0 : 1 : serveOrCheck();
+        return rehearse ? new ClassArchiveTraining().play() ? 0 : 1 : serveOrCheck();
     }
 
     private int serveOrCheck() {
         if (config == null) {
-            return ProcessEnd.say(ProcessEnd.BAD_SETTINGS, "--config FILE is needed, see --help");
+            return ProcessExit.say(ProcessExit.BAD_SETTINGS, "--config FILE is needed, see --help");
         }
         SettingsFile.Loaded loaded;
         OperatorSettings own;
@@ -117,7 +117,7 @@
             loaded = SettingsFile.load(config);
             own = operator == null ? OperatorSettings.DEFAULTS : OperatorSettings.read(operator);
         } catch (SettingsException e) {
-            return ProcessEnd.say(ProcessEnd.BAD_SETTINGS, e.getMessage());
+            return ProcessExit.say(ProcessExit.BAD_SETTINGS, e.getMessage());
         }
         if (check) {
             return report(loaded);
@@ -139,22 +139,23 @@
             System.out.println("settings of " + node + " are fine");
             return 0;
         }
-        return ProcessEnd.say(ProcessEnd.BAD_SETTINGS, "a node would start, with defaults for the fields named above");
+        return ProcessExit.say(
+                ProcessExit.BAD_SETTINGS, "a node would start, with defaults for the fields named above");
     }
 
     /** Listens; an address that a process of ours just ended may still hold is tried again for a moment. */
-    private static void listen(Loop loop, UndertowServer server, String address, Http.Handler handler, int tries) {
+    private static void listen(EventLoop loop, UndertowServer server, String address, Http.Handler handler, int tries) {
         try {
             server.listen(address, handler);
         } catch (IOException | RuntimeException e) {
             Throwable cause = rootOf(e);
             if (tries > 1 && cause instanceof BindException) {
-                loop.after(Constants.BIND_RETRY_MS, () -> listen(loop, server, address, handler, tries - 1));
+                loop.after(Constants.Network.BIND_RETRY_MS, () -> listen(loop, server, address, handler, tries - 1));
                 return;
             }
             String why = cause instanceof BindException ? "address in use or not ours" : cause.toString();
             Runtime.getRuntime()
-                    .halt(ProcessEnd.say(ProcessEnd.CANNOT_START, "can't serve on " + address + ": " + why));
+                    .halt(ProcessExit.say(ProcessExit.CANNOT_START, "can't serve on " + address + ": " + why));
         }
     }
 
@@ -179,12 +180,12 @@
     }
 
     static DefaultByteBufferPool buffers() {
-        return new DefaultByteBufferPool(false, Constants.BUFFER_BYTES, Constants.BUFFERS_KEPT, 0);
+        return new DefaultByteBufferPool(false, Constants.Network.BUFFER_BYTES, Constants.Network.BUFFERS_KEPT, 0);
     }
 
     /** Ends the process without any winding up: whoever is half alive had better be gone at once. */
-    static Guard guard() {
-        return new Guard(Runtime.getRuntime()::halt);
+    static ExceptionBoundary guard() {
+        return new ExceptionBoundary(Runtime.getRuntime()::halt);
     }
 
     private static int serve(Settings settings) {
@@ -196,7 +197,7 @@
             worker.awaitTermination();
             return 0;
         } catch (IOException | InterruptedException | RuntimeException e) {
-            return ProcessEnd.say(ProcessEnd.CANNOT_START, "can't start: " + rootOf(e));
+            return ProcessExit.say(ProcessExit.CANNOT_START, "can't start: " + rootOf(e));
         }
     }
 
@@ -204,19 +205,19 @@
     private static void logSummary(Logger log, Settings settings) {
         log.info(
                 "{} controllers, {} teams, lease {} ms, cancellation {} ms, leadership {} ms, heap {} MiB",
-                settings.nodes(),
+                settings.controllers(),
                 settings.teams().size(),
                 settings.workers().leaseMs(),
                 settings.workers().cancelMs(),
                 settings.leadershipMs(),
                 Runtime.getRuntime().maxMemory() / BYTES_PER_MIB);
-        logLimits(log, "state service", settings.state());
-        if (settings.state().next() != null) {
-            logLimits(log, "state service, announced", settings.state().next());
+        logLimits(log, "state service", settings.storeLimits());
+        if (settings.storeLimits().announced() != null) {
+            logLimits(log, "state service, announced", settings.storeLimits().announced());
         }
     }
 
-    private static void logLimits(Logger log, String whose, Settings.State limits) {
+    private static void logLimits(Logger log, String whose, Settings.StoreLimits limits) {
         log.info(
                 "{}: {} requests/s, {} changes/s, values of {} bytes, {} changes a transaction",
                 whose,
@@ -231,14 +232,14 @@
         Logger log = LoggerFactory.getLogger(Main.class);
         XnioIoThread thread = worker.getIoThread();
         DefaultByteBufferPool buffers = buffers();
-        Guard guard = guard();
-        Loop loop = new XnioLoop(thread, guard);
+        ExceptionBoundary boundary = guard();
+        EventLoop loop = new XnioEventLoop(thread, boundary);
         Controller controller = new Controller(
                 settings,
                 loop,
-                new UndertowCaller(thread, buffers, settings.idleConnections(), guard),
+                new UndertowCaller(thread, buffers, settings.idleConnections(), boundary),
                 new SplittableRandom());
-        UndertowServer server = new UndertowServer(worker, buffers, settings.backlog(), guard);
+        UndertowServer server = new UndertowServer(worker, buffers, settings.backlog(), boundary);
         log.info(
                 "{} is to serve users and workers on {}, controllers on {}",
                 settings.node(),
@@ -253,13 +254,13 @@
         Runnable openToAll = () -> {
             if (!open[0]) {
                 open[0] = true;
-                listen(loop, server, settings.serveOn(), controller::serve, Constants.BIND_TRIES);
+                listen(loop, server, settings.serveOn(), controller::serve, Constants.Network.BIND_TRIES);
             }
         };
         loop.after(0, () -> {
             controller.start(openToAll);
-            listen(loop, server, settings.internalAddress(), controller::servePeer, Constants.BIND_TRIES);
-            loop.after(Constants.LEADER_KNOWN_WITHIN_MS, openToAll);
+            listen(loop, server, settings.internalAddress(), controller::servePeer, Constants.Network.BIND_TRIES);
+            loop.after(Constants.Process.LEADER_DISCOVERY_TIMEOUT_MS, openToAll);
         });
     }
 }
--- a/src/main/java/org/spoolline/cli/package-info.java
+++ b/src/main/java/org/spoolline/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line, and the rehearsal by which the build records what a start loads. */
+/** The command line, and the training run by which the build records the classes that a start loads. */
 package org.spoolline.cli;
--- a/src/main/java/org/spoolline/fleet/Room.java
+++ b/src/main/java/org/spoolline/cluster/Capacity.java
@@ -1,10 +1,10 @@
-package org.spoolline.fleet;
+package org.spoolline.cluster;
 
+import org.spoolline.config.Constants;
 import org.spoolline.pipeline.Submission;
-import org.spoolline.settings.Constants;
 
 /** Free room on a machine, there or to come, while a plan is made. */
-public class Room {
+public class Capacity {
     public final MachineType type;
     public final String zone;
     public final boolean spot;
@@ -13,7 +13,7 @@
     private double memoryGb;
 
     /** An empty machine. */
-    public Room(MachineType type, String zone, boolean spot) {
+    public Capacity(MachineType type, String zone, boolean spot) {
         this.type = type;
         this.zone = zone;
         this.spot = spot;
@@ -23,8 +23,8 @@
     }
 
     /** The same room, to try something out on. */
-    public Room copy() {
-        Room copy = new Room(type, zone, spot);
+    public Capacity copy() {
+        Capacity copy = new Capacity(type, zone, spot);
         copy.cores = cores;
         copy.accelerators = accelerators;
         copy.memoryGb = memoryGb;
@@ -40,19 +40,19 @@
     }
 
     /** True when the job may run here, room apart. */
-    public boolean allows(Submission job) {
-        return (job.types() == null || job.types().contains(type.name()))
+    public boolean permits(Submission job) {
+        return (job.machineTypes() == null || job.machineTypes().contains(type.name()))
                 && (job.zone() == null || job.zone().equals(zone))
-                && (job.spot() || !spot);
+                && (job.allowsSpot() || !spot);
     }
 
     public boolean fits(Submission job) {
-        return job.cores() <= cores + Constants.EPSILON
-                && job.accelerators() <= accelerators + Constants.EPSILON
-                && job.memoryGb() <= memoryGb + Constants.EPSILON;
+        return job.cores() <= cores + Constants.Placement.EPSILON
+                && job.accelerators() <= accelerators + Constants.Placement.EPSILON
+                && job.memoryGb() <= memoryGb + Constants.Placement.EPSILON;
     }
 
-    public void take(Submission job) {
+    public void allocate(Submission job) {
         cores -= job.cores();
         accelerators -= job.accelerators();
         memoryGb -= job.memoryGb();
--- a/src/main/java/org/spoolline/workers/MachineTable.java
+++ b/src/main/java/org/spoolline/cluster/MachineRegistry.java
@@ -1,4 +1,4 @@
-package org.spoolline.workers;
+package org.spoolline.cluster;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** Every machine the leader has heard of, by name; gone ones stay, so that late words from them are recognised. */
-public final class MachineTable {
+public final class MachineRegistry {
     private final Map<String, Machine> machines = new LinkedHashMap<>();
 
     public Machine get(String name) {
@@ -22,7 +22,7 @@
         return machines;
     }
 
-    public Machine findOrAdd(String name, String type, String zone, boolean spot, long knownSince) {
+    public Machine getOrRegister(String name, String type, String zone, boolean spot, long knownSince) {
         return machines.computeIfAbsent(name, n -> new Machine(n, type, zone, spot, knownSince));
     }
 
@@ -31,15 +31,15 @@
     }
 
     /** Machines that take work: they report, hear the leader's answers and are not about to leave. */
-    public List<Machine> usable(long now, long quietMs) {
+    public List<Machine> schedulable(long now, long quietMs) {
         List<Machine> usable = new ArrayList<>();
         for (Machine machine : all()) {
-            if (!machine.gone()
+            if (!machine.terminated()
                     && !machine.draining()
-                    && machine.heard()
-                    && !machine.deaf()
-                    && machine.noticeS() == null
-                    && now - machine.heardAt() < quietMs) {
+                    && machine.hasReported()
+                    && !machine.downlinkUnreachable()
+                    && machine.interruptionNoticeS() == null
+                    && now - machine.lastHeartbeatAt() < quietMs) {
                 usable.add(machine);
             }
         }
--- a/src/main/java/org/spoolline/fleet/MachineType.java
+++ b/src/main/java/org/spoolline/cluster/MachineType.java
@@ -1,4 +1,4 @@
-package org.spoolline.fleet;
+package org.spoolline.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -45,8 +45,8 @@
     }
 
     /** True when one task of the job fits an empty machine of this type and the job allows the type. */
-    public boolean suits(Submission job) {
-        return (job.types() == null || job.types().contains(name))
+    public boolean canRun(Submission job) {
+        return (job.machineTypes() == null || job.machineTypes().contains(name))
                 && job.cores() <= cores
                 && job.accelerators() <= accelerators
                 && job.memoryGb() <= memoryGb
@@ -54,7 +54,7 @@
     }
 
     /** Tasks of the job that an empty machine holds. */
-    public int fits(Submission job) {
+    public int tasksPerMachine(Submission job) {
         double count = Math.floor(cores / job.cores() + 1e-9);
         if (job.accelerators() > 0) {
             count = Math.min(count, Math.floor(accelerators / job.accelerators() + 1e-9));
--- /dev/null
+++ b/src/main/java/org/spoolline/cluster/package-info.java
@@ -0,0 +1,2 @@
+/** Machines as the leader knows them: types, capacity, registry, heartbeats. */
+package org.spoolline.cluster;
--- a/src/main/java/org/spoolline/settings/OperatorSettings.java
+++ b/src/main/java/org/spoolline/config/OperatorSettings.java
@@ -1,4 +1,4 @@
-package org.spoolline.settings;
+package org.spoolline.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.xml.XmlMapper;
@@ -19,7 +19,10 @@
  */
 public record OperatorSettings(long idleMs, long idleSpotMs, long cycleMinMs, long cycleMaxMs) {
     public static final OperatorSettings DEFAULTS = new OperatorSettings(
-            Constants.IDLE_MS, Constants.IDLE_SPOT_MS, Constants.CYCLE_MIN_MS, Constants.CYCLE_MAX_MS);
+            Constants.Autoscaling.IDLE_MS,
+            Constants.Autoscaling.IDLE_SPOT_MS,
+            Constants.Cycle.CYCLE_MIN_MS,
+            Constants.Cycle.CYCLE_MAX_MS);
 
     public static OperatorSettings read(Path file) throws SettingsException {
         try {
--- a/src/main/java/org/spoolline/settings/Settings.java
+++ b/src/main/java/org/spoolline/config/Settings.java
@@ -1,4 +1,4 @@
-package org.spoolline.settings;
+package org.spoolline.config;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,12 +12,12 @@
         String internalAddress,
         List<Peer> peers,
         String cloudAddress,
-        String stateAddress,
-        int nodes,
+        String storeAddress,
+        int controllers,
         Map<String, Team> teams,
         List<Objective> objectives,
         Workers workers,
-        State state,
+        StoreLimits storeLimits,
         Cloud cloud,
         Quota quota,
         OperatorSettings operator) {
@@ -26,7 +26,12 @@
     public record Peer(String node, String address) {}
 
     /** A team's guarantee and limit. */
-    public record Team(String name, double cores, double coresMax, double accelerators, double acceleratorsMax) {}
+    public record Team(
+            String name,
+            double guaranteedCores,
+            double maxCores,
+            double guaranteedAccelerators,
+            double maxAccelerators) {}
 
     /**
      * What is expected of a class of jobs. Kinds differ in their fields, and kinds may be added.
@@ -38,23 +43,24 @@
     public record Objective(String kind, String jobClass, Double withinS, Double share) {}
 
     /** Times of the workers, in milliseconds. */
-    public record Workers(long reportMs, long leaseMs, long gangWaitMs, long gangPeerMs, long cancelMs) {}
+    public record Workers(long heartbeatMs, long leaseMs, long gangWaitMs, long gangPeerMs, long cancelMs) {}
 
     /**
      * Limits of the state service.
      *
-     * @param next the limits that it will have from some moment on, without notice; null when none are announced
+     * @param announced the limits that it will have from some moment on, without notice; null when none are announced
      */
-    public record State(double requestsPerS, double writesPerS, int valueBytes, int txnOps, State next) {
+    public record StoreLimits(
+            double requestsPerS, double writesPerS, int valueBytes, int txnOps, StoreLimits announced) {
         /** The least of what holds now and what is announced. */
-        public State lowered() {
-            return next == null
+        public StoreLimits lowestAnnounced() {
+            return announced == null
                     ? this
-                    : new State(
-                            Math.min(requestsPerS, next.requestsPerS),
-                            Math.min(writesPerS, next.writesPerS),
-                            Math.min(valueBytes, next.valueBytes),
-                            Math.min(txnOps, next.txnOps),
+                    : new StoreLimits(
+                            Math.min(requestsPerS, announced.requestsPerS),
+                            Math.min(writesPerS, announced.writesPerS),
+                            Math.min(valueBytes, announced.valueBytes),
+                            Math.min(txnOps, announced.txnOps),
                             null);
         }
     }
@@ -74,12 +80,12 @@
                 internalAddress,
                 peers,
                 cloudAddress,
-                stateAddress,
-                nodes,
+                storeAddress,
+                controllers,
                 teams,
                 objectives,
                 workers,
-                state,
+                storeLimits,
                 cloud,
                 quota,
                 own);
@@ -91,49 +97,57 @@
      * one another after each restart.
      */
     public long leadershipMs() {
-        double times =
-                Math.max(1, Math.min(Constants.LEADERSHIP_TIMES_MAX, Constants.AMPLE_CPU_SHARE / quota.cpuShare()));
-        return Math.min((long) (Constants.LEADERSHIP_MS * times), (workers.cancelMs() - silenceMs()) / 2);
+        double times = Math.max(
+                1,
+                Math.min(
+                        Constants.Election.LEADERSHIP_FACTOR_MAX,
+                        Constants.Election.SLOW_CPU_SHARE / quota.cpuShare()));
+        return Math.min((long) (Constants.Election.LEADERSHIP_MS * times), (workers.cancelMs() - leaseExpiryMs()) / 2);
     }
 
     /** When a leadership, or a view of the jobs, ends that dates from a request sent then: less drift and margin. */
-    public long leadershipEnds(long sent) {
-        return sent + (long) (leadershipMs() * (1 - Constants.DRIFT)) - Constants.MARGIN_MS;
+    public long leadershipEndsAt(long sent) {
+        return sent + (long) (leadershipMs() * (1 - Constants.Time.DRIFT)) - Constants.Time.MARGIN_MS;
     }
 
     /** Idle connections to others that are kept open: a share of the sockets, most of which the workers need. */
     public int idleConnections() {
-        return Math.max(Constants.IDLE_CONNECTIONS_MIN, quota.sockets() / Constants.SOCKETS_PER_IDLE_CONNECTION);
+        return Math.max(
+                Constants.Network.IDLE_CONNECTIONS_MIN,
+                quota.sockets() / Constants.Network.SOCKETS_PER_IDLE_CONNECTION);
     }
 
     /** Nudges under way at once: each takes a socket, until its time is over where the machine is silent. */
-    public int nudgesAtOnce() {
-        return Math.max(Constants.NUDGES_MIN, quota.sockets() / Constants.SOCKETS_PER_NUDGE);
+    public int maxEarlyHeartbeatRequests() {
+        return Math.max(
+                Constants.Heartbeat.EARLY_HEARTBEAT_REQUESTS_MIN,
+                quota.sockets() / Constants.Heartbeat.SOCKETS_PER_EARLY_HEARTBEAT_REQUEST);
     }
 
     /** Ms without a check-in after which a machine gets no new work. */
-    public long quietMs() {
-        return (long) (workers.reportMs() * Constants.QUIET_REPORTS);
+    public long heartbeatOverdueMs() {
+        return (long) (workers.heartbeatMs() * Constants.Heartbeat.HEARTBEATS_OVERDUE);
     }
 
     /** Ms without any check-in after which a node counts as one that workers don't reach. */
-    public long deafMs() {
-        return (long) (workers.reportMs() * Constants.DEAF_REPORTS);
+    public long heartbeatsMissingMs() {
+        return (long) (workers.heartbeatMs() * Constants.Heartbeat.HEARTBEATS_MISSING);
     }
 
     /** Connections that may wait to be accepted: all that the sockets allow, since all workers may come at once. */
     public int backlog() {
-        return Math.max(Constants.IDLE_CONNECTIONS_MIN, quota.sockets());
+        return Math.max(Constants.Network.IDLE_CONNECTIONS_MIN, quota.sockets());
     }
 
     /** What the settings give too little of, in words; the node serves as far as it can. */
     public List<String> shortages() {
         List<String> found = new ArrayList<>();
-        if (quota.memoryMb() < Constants.FULL_MB) {
-            found.add("cluster.quota.ram_mb is " + (int) quota.memoryMb() + ", a full heap takes " + Constants.FULL_MB);
+        if (quota.memoryMb() < Constants.Process.FULL_HEAP_PROCESS_MB) {
+            found.add("cluster.quota.ram_mb is " + (int) quota.memoryMb() + ", a full heap takes "
+                    + Constants.Process.FULL_HEAP_PROCESS_MB);
         }
-        if (quota.sockets() < Constants.SOCKETS_NEEDED) {
-            found.add("cluster.quota.sockets is " + quota.sockets() + ", at least " + Constants.SOCKETS_NEEDED
+        if (quota.sockets() < Constants.Process.SOCKETS_NEEDED) {
+            found.add("cluster.quota.sockets is " + quota.sockets() + ", at least " + Constants.Process.SOCKETS_NEEDED
                     + " are needed");
         }
         return found;
@@ -141,7 +155,7 @@
 
     /** Ms between renewals of the leadership lease. */
     public long renewMs() {
-        return Math.max(1, leadershipMs() / Constants.RENEWALS);
+        return Math.max(1, leadershipMs() / Constants.Election.RENEWALS_PER_LEASE);
     }
 
     /**
@@ -149,19 +163,19 @@
      * on top of its leadership time. Leadership, this and the workers' lease together stay under cancel_s.
      */
     public long keepAliveMs() {
-        return Math.max(0, workers.cancelMs() - workers.leaseMs() - leadershipMs() - Constants.CANCEL_RESERVE_MS);
+        return Math.max(0, workers.cancelMs() - workers.leaseMs() - leadershipMs() - Constants.Time.CANCEL_RESERVE_MS);
     }
 
     /**
      * Ms for which a node may remember that a job was not cancelled when it was last read: an answer about a job that needs
      * it is then well within cancel_s of any cancellation that it misses.
      */
-    public long ancestorsRememberedMs() {
-        return workers.cancelMs() / Constants.ANCESTORS_REMEMBERED_PART;
+    public long ancestorCacheMs() {
+        return workers.cancelMs() / Constants.Api.ANCESTOR_CACHE_FRACTION;
     }
 
     /** Ms after which a worker not answered has ended all its tasks, with drift and margin. */
-    public long silenceMs() {
-        return (long) (workers.leaseMs() * (1 + Constants.DRIFT)) + Constants.MARGIN_MS;
+    public long leaseExpiryMs() {
+        return (long) (workers.leaseMs() * (1 + Constants.Time.DRIFT)) + Constants.Time.MARGIN_MS;
     }
 }
--- a/src/main/java/org/spoolline/settings/SettingsException.java
+++ b/src/main/java/org/spoolline/config/SettingsException.java
@@ -1,4 +1,4 @@
-package org.spoolline.settings;
+package org.spoolline.config;
 
 /** The settings can't be used; the message is one line that names the file or the field. */
 public final class SettingsException extends Exception {
--- a/src/main/java/org/spoolline/settings/SettingsFile.java
+++ b/src/main/java/org/spoolline/config/SettingsFile.java
@@ -1,4 +1,4 @@
-package org.spoolline.settings;
+package org.spoolline.config;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -27,11 +27,11 @@
             Set.of("count", "zones", "time_bound_ms", "teams", "objectives", "workers", "state", "cloud", "quota");
     private static final String NEXT = "next";
     private static final double BYTES_PER_KB = 1024;
-    private static final Settings.State LEAST_LIMITS = new Settings.State(
-            Constants.DEFAULT_STATE_RPS,
-            Constants.DEFAULT_STATE_WRITE_RPS,
-            Constants.DEFAULT_VALUE_BYTES,
-            Constants.DEFAULT_TXN_OPS,
+    private static final Settings.StoreLimits LEAST_LIMITS = new Settings.StoreLimits(
+            Constants.Defaults.DEFAULT_STORE_RPS,
+            Constants.Defaults.DEFAULT_STORE_WRITE_RPS,
+            Constants.Defaults.DEFAULT_VALUE_BYTES,
+            Constants.Defaults.DEFAULT_TRANSACTION_WRITES,
             null);
     private static final Set<String> OBJECTIVE_FIELDS = Set.of("kind", "class", "within_s", "share", "times");
 
@@ -101,7 +101,7 @@
                 quota(cluster.table("quota")),
                 OperatorSettings.DEFAULTS);
         findings.throwIfRefused();
-        if (settings.leadershipMs() < Constants.LEADERSHIP_MIN_MS) {
+        if (settings.leadershipMs() < Constants.Election.LEADERSHIP_MIN_MS) {
             throw new SettingsException("cluster.workers.cancel_s is too short for lease_s: "
                     + "no time is left between them for leadership");
         }
@@ -149,36 +149,36 @@
         table.knows(Set.of("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"));
         long leaseMs = table.requiredMillis("lease_s");
         return new Settings.Workers(
-                table.millis("report_s", Math.max(1, leaseMs / Constants.DEFAULT_HEARTBEATS_PER_LEASE)),
+                table.millis("report_s", Math.max(1, leaseMs / Constants.Defaults.DEFAULT_HEARTBEATS_PER_LEASE)),
                 leaseMs,
-                table.millis("gang_wait_s", Constants.DEFAULT_GANG_WAIT_MS),
-                table.millis("gang_peer_s", Constants.DEFAULT_GANG_PEER_MS),
+                table.millis("gang_wait_s", Constants.Defaults.DEFAULT_GANG_WAIT_MS),
+                table.millis("gang_peer_s", Constants.Defaults.DEFAULT_GANG_PEER_MS),
                 table.requiredMillis("cancel_s"));
     }
 
-    private static Settings.State state(SettingsTable table) {
+    private static Settings.StoreLimits state(SettingsTable table) {
         table.knows(Set.of("rps", "write_rps", "value_kb", "txn_ops", "next"));
-        Settings.State now = new Settings.State(
+        Settings.StoreLimits now = new Settings.StoreLimits(
                 table.positive("rps", LEAST_LIMITS.requestsPerS()),
                 table.positive("write_rps", LEAST_LIMITS.writesPerS()),
                 bytes(table, LEAST_LIMITS),
                 table.count("txn_ops", LEAST_LIMITS.txnOps()),
                 null);
-        return new Settings.State(
+        return new Settings.StoreLimits(
                 now.requestsPerS(), now.writesPerS(), now.valueBytes(), now.txnOps(), announced(table, now));
     }
 
     /** The limits announced for later: what is missing of them stays as it is, for what is odd the least holds. */
-    private static Settings.State announced(SettingsTable state, Settings.State now) {
+    private static Settings.StoreLimits announced(SettingsTable state, Settings.StoreLimits now) {
         if (!state.has(NEXT)) {
             return null;
         }
         SettingsTable next = state.table(NEXT).knows(Set.of("rps", "write_rps", "value_kb", "txn_ops"));
-        Settings.State least = new Settings.State(
+        Settings.StoreLimits least = new Settings.StoreLimits(
                         now.requestsPerS(), now.writesPerS(), now.valueBytes(), now.txnOps(), LEAST_LIMITS)
-                .lowered();
-        Settings.State ifMissing = state.hasTable(NEXT) ? now : least;
-        return new Settings.State(
+                .lowestAnnounced();
+        Settings.StoreLimits ifMissing = state.hasTable(NEXT) ? now : least;
+        return new Settings.StoreLimits(
                 next.has("rps") ? next.positive("rps", least.requestsPerS()) : ifMissing.requestsPerS(),
                 next.has("write_rps") ? next.positive("write_rps", least.writesPerS()) : ifMissing.writesPerS(),
                 next.has("value_kb") ? bytes(next, least) : ifMissing.valueBytes(),
@@ -186,22 +186,22 @@
                 null);
     }
 
-    private static int bytes(SettingsTable table, Settings.State ifOdd) {
+    private static int bytes(SettingsTable table, Settings.StoreLimits ifOdd) {
         return (int) (table.positive("value_kb", ifOdd.valueBytes() / BYTES_PER_KB) * BYTES_PER_KB);
     }
 
     private static Settings.Cloud cloud(SettingsTable table) {
         table.knows(Set.of("rps", "list_lag_s"));
         return new Settings.Cloud(
-                table.positive("rps", Constants.DEFAULT_CLOUD_RPS),
-                table.millis("list_lag_s", Constants.DEFAULT_CLOUD_LIST_LAG_MS));
+                table.positive("rps", Constants.Defaults.DEFAULT_CLOUD_RPS),
+                table.millis("list_lag_s", Constants.Defaults.DEFAULT_CLOUD_LIST_LAG_MS));
     }
 
     private static Settings.Quota quota(SettingsTable table) {
         table.knows(Set.of("cpu_share", "ram_mb", "sockets"));
         return new Settings.Quota(
-                table.number("cpu_share", Constants.DEFAULT_CPU_SHARE),
-                table.number("ram_mb", Constants.FULL_MB),
-                table.count("sockets", Constants.SOCKETS_NEEDED));
+                table.number("cpu_share", Constants.Defaults.DEFAULT_CPU_SHARE),
+                table.number("ram_mb", Constants.Process.FULL_HEAP_PROCESS_MB),
+                table.count("sockets", Constants.Process.SOCKETS_NEEDED));
     }
 }
--- a/src/main/java/org/spoolline/settings/SettingsFindings.java
+++ b/src/main/java/org/spoolline/config/SettingsFindings.java
@@ -1,4 +1,4 @@
-package org.spoolline.settings;
+package org.spoolline.config;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/src/main/java/org/spoolline/settings/SettingsTable.java
+++ b/src/main/java/org/spoolline/config/SettingsTable.java
@@ -1,4 +1,4 @@
-package org.spoolline.settings;
+package org.spoolline.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.MissingNode;
--- a/src/main/java/org/spoolline/settings/package-info.java
+++ b/src/main/java/org/spoolline/config/package-info.java
@@ -1,2 +1,2 @@
 /** The platform's and the operators' settings, checked, and all constants. */
-package org.spoolline.settings;
+package org.spoolline.config;
--- a/src/main/java/org/spoolline/leadership/Freshness.java
+++ b/src/main/java/org/spoolline/election/StalenessBound.java
@@ -1,7 +1,7 @@
-package org.spoolline.leadership;
+package org.spoolline.election;
 
-import org.spoolline.net.Loop;
-import org.spoolline.settings.Settings;
+import org.spoolline.config.Settings;
+import org.spoolline.net.EventLoop;
 
 /**
  * Bounded staleness: how old the leader's view of all jobs may be for each kind of answer. A renewal of leadership says
@@ -9,22 +9,22 @@
  * cancelled task's life is therefore the time as of which the view is known to be complete, and nothing else sets that
  * clock: no renewal, no election, no end of an outage.
  */
-public final class Freshness {
+public final class StalenessBound {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Leadership leadership;
+    private final LeaderElection election;
     private long completeAsOf = NEVER;
 
-    public Freshness(Loop loop, Settings settings, Leadership leadership) {
+    public StalenessBound(EventLoop loop, Settings settings, LeaderElection election) {
         this.loop = loop;
         this.settings = settings;
-        this.leadership = leadership;
+        this.election = election;
     }
 
     /** A new term has read nothing. */
-    public void begin() {
+    public void reset() {
         completeAsOf = NEVER;
     }
 
@@ -34,18 +34,18 @@
     }
 
     /** True once the view has been complete in this term. */
-    public boolean viewKnown() {
+    public boolean hasCompleteView() {
         return completeAsOf != NEVER;
     }
 
     /** Starts and everything else that a young view decides. */
     public boolean mayLaunch() {
-        return leadership.valid() && loop.now() < settings.leadershipEnds(completeAsOf);
+        return election.hasValidLease() && loop.now() < settings.leadershipEndsAt(completeAsOf);
     }
 
     /** Answers that renew workers' leases: a task that the view should not hold any more lives no longer than those. */
     public boolean mayRenewLeases() {
-        return leadership.mayKeepAlive() && loop.now() < settings.leadershipEnds(completeAsOf) + settings.keepAliveMs();
+        return election.mayKeepAlive() && loop.now() < settings.leadershipEndsAt(completeAsOf) + settings.keepAliveMs();
     }
 
     /**
@@ -53,6 +53,6 @@
      * A worker that a later leader has spoken to drops the order with its lower token.
      */
     public boolean mayStopCancelled() {
-        return leadership.leads();
+        return election.isLeader();
     }
 }
--- /dev/null
+++ b/src/main/java/org/spoolline/job/JobKeys.java
@@ -0,0 +1,26 @@
+package org.spoolline.job;
+
+/** Where jobs are kept in the state service. A job moves from its live key to its terminal key once, never back. */
+public final class JobKeys {
+    /** Prefix of live pipelines. */
+    public static final String LIVE_PREFIX = "job/";
+    /** Prefix of the records of jobs in a terminal state. */
+    public static final String TERMINAL_PREFIX = "final/";
+
+    private JobKeys() {}
+
+    /** The key of a job's live pipeline. */
+    public static String live(String jobId) {
+        return LIVE_PREFIX + jobId;
+    }
+
+    /** The key of a job's terminal record. */
+    public static String terminal(String jobId) {
+        return TERMINAL_PREFIX + jobId;
+    }
+
+    /** The job whose live pipeline is kept under the key. */
+    public static String jobIdOfLive(String key) {
+        return key.substring(LIVE_PREFIX.length());
+    }
+}
--- a/src/main/java/org/spoolline/placement/JobWatch.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -1,21 +1,21 @@
-package org.spoolline.placement;
+package org.spoolline.job;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.spoolline.diagnostics.Counters;
-import org.spoolline.diagnostics.Event;
-import org.spoolline.leadership.Freshness;
-import org.spoolline.net.Loop;
-import org.spoolline.settings.Constants;
-import org.spoolline.state.StateClient;
+import org.spoolline.config.Constants;
+import org.spoolline.election.StalenessBound;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.metrics.Counters;
+import org.spoolline.metrics.Event;
+import org.spoolline.net.EventLoop;
 
 /** Keeps the leader's table of live pipelines in step with the state service: one listing, then watches without a gap. */
-final class JobWatch {
-    private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
+public final class JobWatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(JobWatcher.class);
 
-    private final Loop loop;
-    private final StateClient state;
-    private final Freshness freshness;
+    private final EventLoop loop;
+    private final KeyValueStoreClient store;
+    private final StalenessBound staleness;
     private final JobTable jobs;
     private final Runnable onLoaded;
     private final Runnable onChanged;
@@ -31,17 +31,17 @@
      * @param onLoaded  runs once a term, when all live pipelines are known
      * @param onChanged runs when some pipelines may have changed
      */
-    JobWatch(
-            Loop loop,
-            StateClient state,
-            Freshness freshness,
+    public JobWatcher(
+            EventLoop loop,
+            KeyValueStoreClient store,
+            StalenessBound staleness,
             JobTable jobs,
             Runnable onLoaded,
             Runnable onChanged,
             Counters counters) {
         this.loop = loop;
-        this.state = state;
-        this.freshness = freshness;
+        this.store = store;
+        this.staleness = staleness;
         this.jobs = jobs;
         this.onLoaded = onLoaded;
         this.onChanged = onChanged;
@@ -49,7 +49,7 @@
     }
 
     /** Reads the live pipelines, which the election has fenced; with 0 the present term ends. */
-    void begin(long token) {
+    public void beginTerm(long token) {
         term = token;
         loaded = false;
         tryingSince = loop.now();
@@ -60,32 +60,34 @@
     }
 
     /** True once all live pipelines were read in this term. */
-    boolean loaded() {
+    public boolean loaded() {
         return loaded;
     }
 
     private void load(long mine) {
         long sent = loop.now();
-        state.list(SchedulingCycles.JOBS, listing -> {
+        store.list(JobKeys.LIVE_PREFIX, listing -> {
             if (term != mine) {
                 return;
             }
-            if (!listing.reached()) {
+            if (!listing.answered()) {
                 failed(Event.JOBS_LISTING_FAILED);
-                later(Constants.RETRY_MS, mine, () -> load(mine));
+                later(Constants.Time.RETRY_MS, mine, () -> load(mine));
                 return;
             }
-            for (StateClient.Item item : listing.items()) {
-                jobs.seen(new StateClient.Change(item.key(), item.value(), item.version()), uid(item.key()));
+            for (KeyValueStoreClient.VersionedValue item : listing.values()) {
+                jobs.observe(
+                        new KeyValueStoreClient.WatchEvent(item.key(), item.value(), item.version()),
+                        jobId(item.key()));
             }
-            freshness.completeAsOf(sent);
+            staleness.completeAsOf(sent);
             counters.count(Event.JOBS_LISTED);
             tryingSince = loop.now();
             if (!loaded) {
                 loaded = true;
                 LOG.info(
                         "{} live pipelines read under token {} at revision {} in {} ms",
-                        listing.items().size(),
+                        listing.values().size(),
                         mine,
                         listing.revision(),
                         loop.now() - sent);
@@ -98,30 +100,30 @@
 
     private void watch(long mine, long after) {
         long sent = loop.now();
-        state.watch(SchedulingCycles.JOBS, after, Constants.VIEW_WATCH_MS, watched -> {
+        store.watch(JobKeys.LIVE_PREFIX, after, Constants.Store.JOB_WATCH_MS, watched -> {
             if (term != mine) {
                 return;
             }
-            if (watched.tooOld()) {
-                counters.count(Event.JOBS_WATCH_TOO_OLD);
+            if (watched.compacted()) {
+                counters.count(Event.JOBS_WATCH_COMPACTED);
                 load(mine);
                 return;
             }
-            for (StateClient.Change change : watched.changes()) {
-                jobs.seen(change, uid(change.key()));
+            for (KeyValueStoreClient.WatchEvent event : watched.events()) {
+                jobs.observe(event, jobId(event.key()));
             }
-            if (!watched.reached()) {
+            if (!watched.answered()) {
                 failed(Event.JOBS_WATCH_FAILED);
             } else {
                 tryingSince = loop.now();
-                jobs.watchedUpTo(watched.revision());
-                freshness.completeAsOf(sent);
+                jobs.forgetRemovalsUpTo(watched.revision());
+                staleness.completeAsOf(sent);
             }
-            if (!watched.changes().isEmpty()) {
+            if (!watched.events().isEmpty()) {
                 onChanged.run();
             }
             later(
-                    watched.reached() ? Constants.WATCH_PAUSE_MS : Constants.RETRY_MS,
+                    watched.answered() ? Constants.Store.WATCH_PAUSE_MS : Constants.Time.RETRY_MS,
                     mine,
                     () -> watch(mine, watched.revision()));
         });
@@ -130,7 +132,7 @@
     /** A leader that can't read the jobs starts nothing: that is said, though not for each try. */
     private void failed(Event what) {
         counters.count(what);
-        if (loop.now() - failureLoggedAt >= Constants.READ_FAILURE_LOG_MS) {
+        if (loop.now() - failureLoggedAt >= Constants.Logging.READ_FAILURE_LOG_MS) {
             failureLoggedAt = loop.now();
             LOG.warn("the live pipelines were not read for {} ms: {}", loop.now() - tryingSince, what.label());
         }
@@ -145,7 +147,7 @@
         });
     }
 
-    private static String uid(String key) {
-        return key.substring(SchedulingCycles.JOBS.length());
+    private static String jobId(String key) {
+        return JobKeys.jobIdOfLive(key);
     }
 }
--- a/src/main/java/org/spoolline/intake/StoredJob.java
+++ b/src/main/java/org/spoolline/job/StoredJob.java
@@ -1,4 +1,4 @@
-package org.spoolline.intake;
+package org.spoolline.job;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
@@ -7,11 +7,11 @@
  *
  * @param live    the live value, or null
  * @param version the live value's version
- * @param last    the lasting record, or null
+ * @param terminal    the lasting record, or null
  */
-record StoredJob(JsonNode live, long version, FinalRecord last) {
+public record StoredJob(JsonNode live, long version, TerminalRecord terminal) {
     /** True when the job was accepted. */
-    boolean known() {
-        return live != null || last != null;
+    public boolean accepted() {
+        return live != null || terminal != null;
     }
 }
--- a/src/main/java/org/spoolline/intake/FinalRecord.java
+++ b/src/main/java/org/spoolline/job/TerminalRecord.java
@@ -1,4 +1,4 @@
-package org.spoolline.intake;
+package org.spoolline.job;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -6,17 +6,17 @@
 import org.spoolline.pipeline.Pipeline;
 
 /** What is kept of a job that is over, for ever. */
-public record FinalRecord(boolean done, int doneTasks) {
-    public static FinalRecord of(Pipeline over) {
-        return new FinalRecord(over.finished(), over.doneCount());
+public record TerminalRecord(boolean done, int completedTasks) {
+    public static TerminalRecord of(Pipeline over) {
+        return new TerminalRecord(over.succeeded(), over.completedTasks());
     }
 
     public ObjectNode encode() {
-        return Json.object().put("end", done ? "done" : "aborted").put("done", doneTasks);
+        return Json.object().put("end", done ? "done" : "aborted").put("done", completedTasks);
     }
 
-    public static FinalRecord decode(JsonNode stored) {
-        return new FinalRecord(
+    public static TerminalRecord decode(JsonNode stored) {
+        return new TerminalRecord(
                 "done".equals(stored.path("end").asText()), stored.path("done").asInt());
     }
 }
--- a/src/main/java/org/spoolline/state/Latencies.java
+++ b/src/main/java/org/spoolline/kvstore/LatencyLog.java
@@ -1,20 +1,21 @@
-package org.spoolline.state;
+package org.spoolline.kvstore;
 
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.spoolline.settings.Constants;
+import org.spoolline.config.Constants;
 
 /** How long the state service takes to answer, logged once a minute: the first thing to look at in an incident. */
-final class Latencies {
-    private static final Logger LOG = LoggerFactory.getLogger(Latencies.class);
+final class LatencyLog {
+    private static final Logger LOG = LoggerFactory.getLogger(LatencyLog.class);
 
-    private final Histogram millis = new Histogram(Constants.STATE_TIMEOUT_MS * 2, Constants.LATENCY_DIGITS);
+    private final Histogram millis =
+            new Histogram(Constants.Store.STORE_TIMEOUT_MS * 2, Constants.Logging.LATENCY_DIGITS);
     private long refused;
     private long unanswered;
     private long loggedAt;
 
-    Latencies(long now) {
+    LatencyLog(long now) {
         loggedAt = now;
     }
 
@@ -26,7 +27,7 @@
         } else {
             millis.recordValue(Math.min(tookMs, millis.getHighestTrackableValue()));
         }
-        if (now - loggedAt >= Constants.LATENCY_LOG_MS) {
+        if (now - loggedAt >= Constants.Logging.LATENCY_LOG_MS) {
             LOG.info(
                     "state service: {} answers, p50 {} ms, p99 {} ms, max {} ms; {} refused, {} without answer",
                     millis.getTotalCount(),
--- a/src/main/java/org/spoolline/diagnostics/Counters.java
+++ b/src/main/java/org/spoolline/metrics/Counters.java
@@ -1,29 +1,29 @@
-package org.spoolline.diagnostics;
+package org.spoolline.metrics;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.spoolline.config.Constants;
+import org.spoolline.net.EventLoop;
 import org.spoolline.net.Json;
-import org.spoolline.net.Loop;
-import org.spoolline.settings.Constants;
 
 /** Counts events since the process began; what has come since the last line is logged once a minute. */
 public final class Counters {
     private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
     private static final Event[] EVENTS = Event.values();
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long[] counts = new long[EVENTS.length];
     private final long[] logged = new long[EVENTS.length];
 
     /** Counters that start at 0; nothing is logged before {@link #start}. */
-    public Counters(Loop loop) {
+    public Counters(EventLoop loop) {
         this.loop = loop;
     }
 
     /** Begins to log. */
     public void start() {
-        loop.after(Constants.COUNTERS_LOG_MS, this::log);
+        loop.after(Constants.Logging.COUNTERS_LOG_MS, this::log);
     }
 
     /** Counts one event. */
@@ -57,7 +57,7 @@
         if (!news.isEmpty()) {
             LOG.info("last minute:{}", news);
         }
-        loop.after(Constants.COUNTERS_LOG_MS, this::log);
+        loop.after(Constants.Logging.COUNTERS_LOG_MS, this::log);
     }
 
     private String sinceLastLine() {
--- a/src/main/java/org/spoolline/diagnostics/Event.java
+++ b/src/main/java/org/spoolline/metrics/Event.java
@@ -1,4 +1,4 @@
-package org.spoolline.diagnostics;
+package org.spoolline.metrics;
 
 import java.util.Locale;
 
@@ -13,29 +13,29 @@
     /** No leader is known to send the worker to. */
     HEARTBEAT_WITHOUT_LEADER,
     /** The machine counts as gone. */
-    HEARTBEAT_OF_GONE_MACHINE,
+    HEARTBEAT_OF_TERMINATED_MACHINE,
     /** The worker was asked to try the other controllers while the state service is out of reach. */
-    HEARTBEAT_SENT_TO_OTHERS,
+    HEARTBEAT_LEADER_PROBE,
     /** A late copy of an earlier heartbeat. */
-    HEARTBEAT_OUTDATED,
+    HEARTBEAT_STALE,
     /** The leader's view of the jobs is too old to renew a lease. */
-    HEARTBEAT_VIEW_TOO_OLD,
+    HEARTBEAT_STALE_VIEW,
 
     /** A launch was ordered. */
     LAUNCH_ORDERED,
     /** A heartbeat that might have carried launches was answered without: the view of the jobs is too old. */
-    LAUNCH_WITHHELD_VIEW_TOO_OLD,
+    LAUNCH_WITHHELD_STALE_VIEW,
     /** A gang's launch waits for members that still fetch their image. */
-    LAUNCH_WITHHELD_GANG_FETCHES,
+    LAUNCH_WITHHELD_GANG_FETCHING,
     /** The end of a task was ordered. */
     STOP_ORDERED,
 
     /** A scheduling cycle ran to its end. */
     CYCLE_COMPLETED,
     /** A scheduling cycle was requested before the live pipelines were read. */
-    CYCLE_WITHHELD_JOBS_UNREAD,
+    CYCLE_SKIPPED_JOBS_UNREAD,
     /** A scheduling cycle was requested while leadership had lapsed. */
-    CYCLE_WITHHELD_LEADERSHIP_LAPSED,
+    CYCLE_SKIPPED_LEASE_EXPIRED,
     /** A scheduling cycle failed. */
     CYCLE_FAILED,
     /** No plan could be made; ends of tasks were written all the same. */
@@ -50,7 +50,7 @@
     /** A watch of the live pipelines got no answer. */
     JOBS_WATCH_FAILED,
     /** A watch came too late for the state service's history. */
-    JOBS_WATCH_TOO_OLD,
+    JOBS_WATCH_COMPACTED,
 
     /** An election was won. */
     ELECTION_WON,
@@ -64,7 +64,7 @@
     /** A user's request was malformed, impossible or about an unknown job. */
     USER_REFUSED,
     /** A user was told to come back: the share of the state budget is spent. */
-    USER_BUDGET_SPENT,
+    USER_RATE_LIMITED,
     /** A user was told to come back: the state service is out of reach, or the machine types are unknown. */
     USER_UNAVAILABLE;
 
--- a/src/main/java/org/spoolline/diagnostics/StallMonitor.java
+++ b/src/main/java/org/spoolline/metrics/StallMonitor.java
@@ -1,14 +1,14 @@
-package org.spoolline.diagnostics;
+package org.spoolline.metrics;
 
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.spoolline.net.Loop;
-import org.spoolline.settings.Constants;
+import org.spoolline.config.Constants;
+import org.spoolline.net.EventLoop;
 
 /**
  * Notices a leader that starts nothing while jobs wait, and says why as far as the leader knows. Asked regularly; the
- * situation is looked at only once nothing was placed for {@link Constants#STALL_MS}, and at most once in that time.
+ * situation is looked at only once nothing was placed for {@link Constants.Logging#STALL_MS}, and at most once in that time.
  */
 public final class StallMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(StallMonitor.class);
@@ -18,19 +18,19 @@
         /** The live pipelines could not be read under this token. */
         JOBS_UNREAD,
         /** Leadership has lapsed: its renewals are not answered. */
-        LEADERSHIP_LAPSED,
+        LEASE_EXPIRED,
         /** Scheduling cycles fail. */
         CYCLES_FAIL,
         /** Cycles run, but no plan can be made. */
         PLANS_FAIL,
         /** No machine reports. */
-        NO_MACHINE_REPORTS,
+        NO_SCHEDULABLE_MACHINE,
         /** The state service does not answer, or the budget for changes is spent. */
         WRITES_BLOCKED,
         /** Every waiting job waits for other jobs. */
-        PREREQUISITES,
+        UNSATISFIED_DEPENDENCIES,
         /** No machine has room for a task that may run, or teams are at their limits. */
-        NO_ROOM_OR_LIMIT
+        NO_CAPACITY_OR_QUOTA
     }
 
     /**
@@ -38,18 +38,18 @@
      *
      * @param reason        the first reason that applies
      * @param waitingJobs   jobs with tasks that are not placed; those that wait for other jobs count too
-     * @param usableMachines machines that report and take work
+     * @param schedulableMachines machines that report and take work
      * @param freeCores     cores on them that no stored attempt takes
      */
-    public record Situation(Reason reason, int waitingJobs, int usableMachines, double freeCores) {}
+    public record Situation(Reason reason, int waitingJobs, int schedulableMachines, double freeCores) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private long progressAt;
     private long checkedAt;
     private Situation last;
 
     /** A monitor that counts from now. */
-    public StallMonitor(Loop loop) {
+    public StallMonitor(EventLoop loop) {
         this.loop = loop;
         begin();
     }
@@ -70,7 +70,7 @@
     /** Looks at the situation if nothing was placed for too long. */
     public void check(Supplier<Situation> look) {
         long now = loop.now();
-        if (now - Math.max(progressAt, checkedAt) < Constants.STALL_MS) {
+        if (now - Math.max(progressAt, checkedAt) < Constants.Logging.STALL_MS) {
             return;
         }
         checkedAt = now;
@@ -82,7 +82,7 @@
                     (now - progressAt) / 1000,
                     seen.reason(),
                     seen.waitingJobs(),
-                    seen.usableMachines(),
+                    seen.schedulableMachines(),
                     Math.round(seen.freeCores()));
         }
     }
--- a/src/main/java/org/spoolline/net/Loop.java
+++ b/src/main/java/org/spoolline/net/EventLoop.java
@@ -1,7 +1,7 @@
 package org.spoolline.net;
 
 /** The one thread that owns every decision, with its clocks. Stories replace it with a simulated one. */
-public interface Loop {
+public interface EventLoop {
     /** Steady time in milliseconds; only differences mean anything. */
     long now();
 
--- a/src/main/java/org/spoolline/net/Timeout.java
+++ b/src/main/java/org/spoolline/net/Timeout.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.spoolline.settings.Constants;
+import org.spoolline.config.Constants;
 import org.xnio.XnioExecutor;
 
 /**
@@ -23,10 +23,11 @@
     }
 
     private void fire(long lateMs) {
-        if (lateMs <= Constants.MARGIN_MS) {
+        if (lateMs <= Constants.Time.MARGIN_MS) {
             expired.run();
         } else {
-            key = executor.executeAfter(expired, Math.min(lateMs, Constants.LATE_GRACE_MS), TimeUnit.MILLISECONDS);
+            key = executor.executeAfter(
+                    expired, Math.min(lateMs, Constants.Network.LATE_GRACE_MS), TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/org/spoolline/net/UndertowCaller.java
+++ b/src/main/java/org/spoolline/net/UndertowCaller.java
@@ -19,7 +19,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.spoolline.settings.Constants;
+import org.spoolline.config.Constants;
 import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
@@ -35,18 +35,18 @@
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final int keep;
-    private final Guard guard;
+    private final ExceptionBoundary boundary;
     /** Idle connections by target; the target that was used longest ago comes first. */
     private final Map<String, Deque<ClientConnection>> idle = new LinkedHashMap<>(16, 0.75f, true);
 
     private int kept;
 
     /** Keeps at most {@code keep} idle connections: every worker is called now and then, and sockets are few. */
-    public UndertowCaller(XnioIoThread thread, ByteBufferPool buffers, int keep, Guard guard) {
+    public UndertowCaller(XnioIoThread thread, ByteBufferPool buffers, int keep, ExceptionBoundary boundary) {
         this.thread = thread;
         this.buffers = buffers;
         this.keep = keep;
-        this.guard = guard;
+        this.boundary = boundary;
     }
 
     private ClientConnection take(String target) {
@@ -102,7 +102,7 @@
         }
 
         void start(long timeoutMs) {
-            timeout = new Timeout(thread, XnioLoop::clockMs, timeoutMs, this::fail);
+            timeout = new Timeout(thread, XnioEventLoop::clockMs, timeoutMs, this::fail);
             ClientConnection open = take(target);
             if (open != null) {
                 send(open);
@@ -192,7 +192,7 @@
                     .equalsIgnoreCase(
                             exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
             ByteArrayOutputStream collected = new ByteArrayOutputStream();
-            ByteBuffer chunk = ByteBuffer.allocate(Constants.READ_CHUNK_BYTES);
+            ByteBuffer chunk = ByteBuffer.allocate(Constants.Network.READ_CHUNK_BYTES);
             StreamSourceChannel source = exchange.getResponseChannel();
             drain(source, chunk, collected, status, close);
         }
@@ -236,7 +236,7 @@
                 ClientConnection free = connection;
                 thread.execute(() -> keep(target, free));
             }
-            guard.run("what follows an answer", () -> done.accept(reply));
+            boundary.run("what follows an answer", () -> done.accept(reply));
         }
 
         private void fail() {
@@ -246,7 +246,7 @@
             over = true;
             timeout.cancel();
             IoUtils.safeClose(connection);
-            guard.run("what follows a call without answer", () -> done.accept(Http.Reply.NONE));
+            boundary.run("what follows a call without answer", () -> done.accept(Http.Reply.NONE));
         }
     }
 }
--- a/src/main/java/org/spoolline/net/UndertowServer.java
+++ b/src/main/java/org/spoolline/net/UndertowServer.java
@@ -12,7 +12,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
-import org.spoolline.settings.Constants;
+import org.spoolline.config.Constants;
 import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
@@ -25,14 +25,14 @@
     private final XnioWorker worker;
     private final ByteBufferPool buffers;
     private final int backlog;
-    private final Guard guard;
+    private final ExceptionBoundary boundary;
 
     /** {@code backlog}: connections that may wait to be accepted, as when all workers come from a node that ended. */
-    public UndertowServer(XnioWorker worker, ByteBufferPool buffers, int backlog, Guard guard) {
+    public UndertowServer(XnioWorker worker, ByteBufferPool buffers, int backlog, ExceptionBoundary boundary) {
         this.worker = worker;
         this.buffers = buffers;
         this.backlog = backlog;
-        this.guard = guard;
+        this.boundary = boundary;
     }
 
     /** Starts listening; throws when the address can't be bound. */
@@ -40,7 +40,7 @@
         OptionMap http = OptionMap.builder()
                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                 .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
-                .set(UndertowOptions.NO_REQUEST_TIMEOUT, Constants.IDLE_CONNECTION_MS)
+                .set(UndertowOptions.NO_REQUEST_TIMEOUT, Constants.Network.IDLE_CONNECTION_MS)
                 .set(UndertowOptions.RECORD_REQUEST_START_TIME, false)
                 .getMap();
         HttpOpenListener opener = new HttpOpenListener(buffers, http);
@@ -62,7 +62,7 @@
     }
 
     private void receive(HttpServerExchange exchange, Http.Handler handler) {
-        if (exchange.getRequestContentLength() > Constants.MAX_BODY_BYTES) {
+        if (exchange.getRequestContentLength() > Constants.Network.MAX_BODY_BYTES) {
             refuse(exchange);
             return;
         }
@@ -71,7 +71,7 @@
             return;
         }
         long length = exchange.getRequestContentLength();
-        ByteBuffer body = ByteBuffer.allocate(length >= 0 ? (int) length + 1 : Constants.READ_CHUNK_BYTES);
+        ByteBuffer body = ByteBuffer.allocate(length >= 0 ? (int) length + 1 : Constants.Network.READ_CHUNK_BYTES);
         read(exchange, exchange.getRequestChannel(), body, handler);
     }
 
@@ -82,7 +82,7 @@
         try {
             while (true) {
                 if (!body.hasRemaining()) {
-                    if (body.position() > Constants.MAX_BODY_BYTES) {
+                    if (body.position() > Constants.Network.MAX_BODY_BYTES) {
                         refuse(exchange);
                         return;
                     }
@@ -107,7 +107,7 @@
 
     private static void refuse(HttpServerExchange exchange) {
         exchange.setPersistent(false);
-        send(exchange, Http.Response.of(400, Constants.BODY_TOO_LARGE));
+        send(exchange, Http.Response.of(400, Constants.Network.BODY_TOO_LARGE));
     }
 
     private void dispatch(HttpServerExchange exchange, byte[] body, Http.Handler handler) {
@@ -120,11 +120,11 @@
         // network
         // and its timers only when no task is left.
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            boolean fine = guard.run(
+            boolean fine = boundary.run(
                     request.method() + " " + request.path(),
                     () -> handler.handle(request, response -> send(exchange, response)));
             if (!fine && !exchange.isResponseStarted()) {
-                send(exchange, new Http.Response(503, new byte[0], Constants.RETRY_AFTER_S));
+                send(exchange, new Http.Response(503, new byte[0], Constants.Api.RETRY_AFTER_S));
             }
         });
     }
--- a/src/main/java/org/spoolline/net/XnioLoop.java
+++ b/src/main/java/org/spoolline/net/XnioEventLoop.java
@@ -4,13 +4,13 @@
 import org.xnio.XnioIoThread;
 
 /** The loop of a real process: the worker's only XNIO I/O thread. */
-public final class XnioLoop implements Loop {
+public final class XnioEventLoop implements EventLoop {
     private final XnioIoThread thread;
-    private final Guard guard;
+    private final ExceptionBoundary boundary;
 
-    public XnioLoop(XnioIoThread thread, Guard guard) {
+    public XnioEventLoop(XnioIoThread thread, ExceptionBoundary boundary) {
         this.thread = thread;
-        this.guard = guard;
+        this.boundary = boundary;
     }
 
     /** Ms of the steady clock. */
@@ -30,7 +30,7 @@
 
     @Override
     public void after(long delayMs, Runnable task) {
-        Runnable guarded = () -> guard.run("a timer task", task);
+        Runnable guarded = () -> boundary.run("a timer task", task);
         if (delayMs <= 0) {
             thread.execute(guarded);
         } else {
--- a/src/main/java/org/spoolline/net/package-info.java
+++ b/src/main/java/org/spoolline/net/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP over Undertow, the event loop, and JSON. */
+/** HTTP over Undertow, the event loop, rate limiting and JSON. */
 package org.spoolline.net;
--- a/src/main/java/org/spoolline/peers/Cbor.java
+++ b/src/main/java/org/spoolline/peer/Cbor.java
@@ -1,4 +1,4 @@
-package org.spoolline.peers;
+package org.spoolline.peer;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
--- a/src/main/java/org/spoolline/peers/Forwarded.java
+++ b/src/main/java/org/spoolline/peer/ForwardingCodec.java
@@ -1,12 +1,12 @@
-package org.spoolline.peers;
+package org.spoolline.peer;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.BinaryNode;
 import org.spoolline.net.Http;
 
 /** A user's request that one controller hands to another, and its answer, in CBOR. */
-final class Forwarded {
-    private Forwarded() {}
+final class ForwardingCodec {
+    private ForwardingCodec() {}
 
     static byte[] encode(Http.Request request) {
         return Cbor.bytes(Cbor.object()
--- a/src/main/java/org/spoolline/peers/Peers.java
+++ b/src/main/java/org/spoolline/peer/PeerService.java
@@ -1,21 +1,21 @@
-package org.spoolline.peers;
+package org.spoolline.peer;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.spoolline.leadership.Leadership;
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.election.LeaderElection;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
-import org.spoolline.net.Loop;
-import org.spoolline.settings.Constants;
-import org.spoolline.settings.Settings;
-import org.spoolline.state.StateClient;
 
 /**
  * Asks the other controllers how they are: tells an outage from one's own cut, hears of newer leaders, and hands users'
  * requests to a peer while this node alone can't reach the state service. The peer that commits is the one that
  * answers.
  */
-public final class Peers {
+public final class PeerService {
     private static final String STATUS = "/status";
     private static final String FORWARD = "/forward";
     private static final String CANCELLED = "/cancelled";
@@ -25,29 +25,34 @@
         /** A user's request that came to a peer. */
         void handle(Http.Request request, Consumer<Http.Response> answer);
 
-        boolean hearsWorkers();
+        boolean receivesHeartbeats();
 
         /** A peer has confirmed to a user that the job is cancelled. */
-        void cancelled(String uid);
+        void jobCancelled(String jobId);
     }
 
     private record Seen(PeerStatus status, long at) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Http.Caller http;
     private final Settings settings;
-    private final StateClient state;
-    private final Leadership leadership;
+    private final KeyValueStoreClient store;
+    private final LeaderElection election;
     private final Local local;
     private final Map<String, Seen> seen = new HashMap<>();
 
-    public Peers(
-            Loop loop, Http.Caller http, Settings settings, StateClient state, Leadership leadership, Local local) {
+    public PeerService(
+            EventLoop loop,
+            Http.Caller http,
+            Settings settings,
+            KeyValueStoreClient store,
+            LeaderElection election,
+            Local local) {
         this.loop = loop;
         this.http = http;
         this.settings = settings;
-        this.state = state;
-        this.leadership = leadership;
+        this.store = store;
+        this.election = election;
         this.local = local;
     }
 
@@ -58,27 +63,27 @@
     }
 
     private void ask(Settings.Peer peer) {
-        http.call(peer.address(), "POST", STATUS, mine().encode(), Constants.PEER_TIMEOUT_MS, reply -> {
+        http.call(peer.address(), "POST", STATUS, mine().encode(), Constants.Peer.PEER_TIMEOUT_MS, reply -> {
             if (reply.ok()) {
-                heard(PeerStatus.decode(reply.body()));
+                observe(PeerStatus.decode(reply.body()));
             }
-            loop.after(Constants.PEER_PING_MS, () -> ask(peer));
+            loop.after(Constants.Peer.PEER_PING_MS, () -> ask(peer));
         });
     }
 
     /** Serves the internal address. */
     public void handle(Http.Request request, Consumer<Http.Response> answer) {
         if (request.path().equals(FORWARD)) {
-            Http.Request inner = Forwarded.request(request.body());
+            Http.Request inner = ForwardingCodec.request(request.body());
             if (inner == null) {
                 answer.accept(Http.Response.of(400, new byte[0]));
             } else {
-                local.handle(inner, response -> answer.accept(Http.Response.of(200, Forwarded.encode(response))));
+                local.handle(inner, response -> answer.accept(Http.Response.of(200, ForwardingCodec.encode(response))));
             }
             return;
         }
         if (request.path().equals(CANCELLED)) {
-            local.cancelled(Cbor.read(request.body()).path("uid").asText());
+            local.jobCancelled(Cbor.read(request.body()).path("uid").asText());
             answer.accept(Http.Response.of(200, new byte[0]));
             return;
         }
@@ -86,7 +91,7 @@
             answer.accept(Http.Response.of(404, new byte[0]));
             return;
         }
-        heard(PeerStatus.decode(request.body()));
+        observe(PeerStatus.decode(request.body()));
         answer.accept(Http.Response.of(200, mine().encode()));
     }
 
@@ -94,15 +99,15 @@
      * Tells the leader of a cancellation that was committed and is now confirmed here. It learns of it by its watch as
      * well, unless the state service refuses it alone; without this word the tasks would then run until their leases end.
      */
-    public void tellLeader(String cancelledUid) {
+    public void notifyLeaderOfCancellation(String cancelledJobId) {
         for (Settings.Peer peer : settings.peers()) {
-            if (peer.node().equals(leadership.knownLeader())) {
+            if (peer.node().equals(election.knownLeader())) {
                 http.call(
                         peer.address(),
                         "POST",
                         CANCELLED,
-                        Cbor.bytes(Cbor.object().put("uid", cancelledUid)),
-                        Constants.PEER_TIMEOUT_MS,
+                        Cbor.bytes(Cbor.object().put("uid", cancelledJobId)),
+                        Constants.Peer.PEER_TIMEOUT_MS,
                         reply -> {});
             }
         }
@@ -117,14 +122,14 @@
                         peer.address(),
                         "POST",
                         FORWARD,
-                        Forwarded.encode(request),
-                        Constants.PEER_TIMEOUT_MS,
+                        ForwardingCodec.encode(request),
+                        Constants.Peer.PEER_TIMEOUT_MS,
                         reply -> {
-                            Http.Response response = reply.ok() ? Forwarded.response(reply.body()) : null;
+                            Http.Response response = reply.ok() ? ForwardingCodec.response(reply.body()) : null;
                             answer.accept(
                                     response != null
                                             ? response
-                                            : new Http.Response(503, new byte[0], Constants.RETRY_AFTER_S));
+                                            : new Http.Response(503, new byte[0], Constants.Api.RETRY_AFTER_S));
                         });
                 return true;
             }
@@ -133,31 +138,32 @@
     }
 
     private boolean reaches(Seen s) {
-        return s.status().reachesState() && fresh(s);
+        return s.status().reachesStore() && fresh(s);
     }
 
     private boolean fresh(Seen s) {
-        return loop.now() - s.at() < 2 * Constants.PEER_PING_MS + Constants.PEER_TIMEOUT_MS;
+        return loop.now() - s.at() < 2 * Constants.Peer.PEER_PING_MS + Constants.Peer.PEER_TIMEOUT_MS;
     }
 
     /** True when a peer that reaches the state service has lately said that workers come to it. */
-    public boolean anyHearsWorkers() {
-        return seen.values().stream().anyMatch(s -> reaches(s) && s.status().hearsWorkers());
+    public boolean anyReceivesHeartbeats() {
+        return seen.values().stream().anyMatch(s -> reaches(s) && s.status().receivesHeartbeats());
     }
 
     /** True when a peer has lately said that it reaches the state service. */
-    public boolean anyReachesState() {
+    public boolean anyReachesStore() {
         return seen.values().stream().anyMatch(this::reaches);
     }
 
     private PeerStatus mine() {
-        return new PeerStatus(settings.node(), leadership.knownToken(), state.reachable(), local.hearsWorkers());
+        return new PeerStatus(
+                settings.node(), election.highestKnownToken(), store.reachable(), local.receivesHeartbeats());
     }
 
-    private void heard(PeerStatus status) {
+    private void observe(PeerStatus status) {
         if (status != null) {
             seen.put(status.node(), new Seen(status, loop.now()));
-            leadership.sawToken(status.token());
+            election.observeToken(status.token());
         }
     }
 }
--- a/src/main/java/org/spoolline/peers/PeerStatus.java
+++ b/src/main/java/org/spoolline/peer/PeerStatus.java
@@ -1,15 +1,15 @@
-package org.spoolline.peers;
+package org.spoolline.peer;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** What one controller tells another, in CBOR: the highest token it has seen, whom it reaches and who reaches it. */
-public record PeerStatus(String node, long token, boolean reachesState, boolean hearsWorkers) {
+public record PeerStatus(String node, long token, boolean reachesStore, boolean receivesHeartbeats) {
     public byte[] encode() {
         return Cbor.bytes(Cbor.object()
                 .put("node", node)
                 .put("token", token)
-                .put("state", reachesState)
-                .put("workers", hearsWorkers));
+                .put("state", reachesStore)
+                .put("workers", receivesHeartbeats));
     }
 
     /** Null when the bytes are no status. */
--- a/src/main/java/org/spoolline/peers/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What controllers tell one another, in CBOR. */
-package org.spoolline.peers;
--- a/src/main/java/org/spoolline/pipeline/AttemptsCodec.java
+++ b/src/main/java/org/spoolline/pipeline/AttemptsCodec.java
@@ -60,8 +60,8 @@
     }
 
     private record Place(Name name, String machine, long session, long number) {
-        static Place of(Attempt a) {
-            return new Place(Name.of(a.machine()), a.machine(), a.session(), a.number());
+        static Place of(Attempt attempt) {
+            return new Place(Name.of(attempt.machine()), attempt.machine(), attempt.incarnation(), attempt.number());
         }
 
         /** Written out, see {@link Attempt#equals}. */
@@ -92,9 +92,9 @@
         Map<Place, Integer> index = new HashMap<>();
         List<Attempt> byTask = new ArrayList<>(attempts);
         byTask.sort(Comparator.comparingInt(Attempt::task));
-        for (Attempt a : byTask) {
-            Place place = Place.of(a);
-            placeOf.put(a, place);
+        for (Attempt attempt : byTask) {
+            Place place = Place.of(attempt);
+            placeOf.put(attempt, place);
             index.put(place, 0);
         }
         List<Place> places = new ArrayList<>(index.keySet());
@@ -123,10 +123,10 @@
         Bits bits = new Bits();
         int next = 0;
         int here = -1;
-        for (Attempt a : byTask) {
-            bits.number(a.task() - next);
-            next = a.task() + 1;
-            int place = index.get(placeOf.get(a));
+        for (Attempt attempt : byTask) {
+            bits.number(attempt.task() - next);
+            next = attempt.task() + 1;
+            int place = index.get(placeOf.get(attempt));
             bits.flag(place == here);
             if (place != here) {
                 bits.fixed(place, width);
@@ -163,7 +163,7 @@
             if (!bits.flag()) {
                 here = places.get((int) bits.fixed(width));
             }
-            to.accept(new Attempt(task++, here.number(), here.machine(), here.session()));
+            to.accept(new Attempt(task++, here.number(), here.machine(), here.incarnation()));
         }
     }
 
--- a/src/main/java/org/spoolline/pipeline/Cekk.java
+++ b/src/main/java/org/spoolline/pipeline/CekkMachine.java
@@ -11,9 +11,9 @@
  * function on states. Where the paper passes a state from site to site, the leading controller steps it in place.
  * There are no undo jobs: a failure takes the next way of an or-closure, and with none left it cancels.
  */
-public final class Cekk {
+public final class CekkMachine {
     /** A branch: control expression, success stack, failure stack. */
-    public record Branch(Flow control, Stack success, Stack failure) {
+    public record Branch(Flow control, ContinuationStack success, ContinuationStack failure) {
         /** The activity this branch waits for, or null. */
         public String waitsFor() {
             return control instanceof Flow.Activity a ? a.name() : null;
@@ -58,7 +58,7 @@
     private final Map<String, Integer> joined;
     private boolean failing;
 
-    private Cekk(State from) {
+    private CekkMachine(State from) {
         branches = new ArrayList<>(from.branches());
         statuses = new LinkedHashMap<>(from.statuses());
         joined = new LinkedHashMap<>(from.joined());
@@ -67,19 +67,19 @@
 
     /** A fresh pipeline, stepped until every branch waits for an activity. */
     public static State start(Flow flow) {
-        return start(flow, Stack.BOTTOM);
+        return start(flow, ContinuationStack.BOTTOM);
     }
 
     /** A fresh pipeline with a failure stack of its own. */
-    public static State start(Flow flow, Stack failure) {
-        Cekk machine = new Cekk(new State(List.of(), Map.of(), Map.of(), false));
-        machine.enact(new Branch(flow, Stack.BOTTOM, failure));
+    public static State start(Flow flow, ContinuationStack failure) {
+        CekkMachine machine = new CekkMachine(new State(List.of(), Map.of(), Map.of(), false));
+        machine.enact(new Branch(flow, ContinuationStack.BOTTOM, failure));
         return machine.state();
     }
 
     /** Rule A2: the activity's success pops the success stack. Unknown activities change nothing. */
     public static State succeeded(State state, String activity) {
-        Cekk machine = new Cekk(state);
+        CekkMachine machine = new CekkMachine(state);
         Branch branch = machine.take(activity);
         if (branch == null) {
             return state;
@@ -93,7 +93,7 @@
 
     /** Rule A3: the activity's failure applies the failure stack. Unknown activities change nothing. */
     public static State failed(State state, String activity) {
-        Cekk machine = new Cekk(state);
+        CekkMachine machine = new CekkMachine(state);
         Branch branch = machine.take(activity);
         if (branch == null) {
             return state;
@@ -106,7 +106,7 @@
     }
 
     private void applyFailure(Branch branch) {
-        Stack failure = branch.failure();
+        ContinuationStack failure = branch.failure();
         if (failure.isEmpty()) {
             // No way is left: siblings are stopped and waited for, dependents are cancelled.
             failing = true;
@@ -140,8 +140,8 @@
         Branch branch = start;
         while (true) {
             Flow control = branch.control();
-            Stack success = branch.success();
-            Stack failure = branch.failure();
+            ContinuationStack success = branch.success();
+            ContinuationStack failure = branch.failure();
             if (control instanceof Flow.Activity) {
                 branches.add(branch);
                 return;
@@ -153,7 +153,8 @@
             } else if (control instanceof Flow.Seq seq) {
                 // S1 and S2
                 List<Flow> flows = seq.flows();
-                Stack rest = flows.size() > 1 ? success.push(new Flow.Seq(flows.subList(1, flows.size()))) : success;
+                ContinuationStack rest =
+                        flows.size() > 1 ? success.push(new Flow.Seq(flows.subList(1, flows.size()))) : success;
                 branch = new Branch(flows.isEmpty() ? Flow.EMPTY : flows.get(0), rest, failure);
             } else if (control instanceof Flow.Or or) {
                 branch = alternative(or, success, failure, false);
@@ -162,7 +163,7 @@
                 branch = alternative(closure.rest(), closure.success(), closure.failure(), closure.endless());
             } else if (control instanceof Flow.Fork fork) {
                 // F1
-                Stack joining =
+                ContinuationStack joining =
                         success.push(new Flow.Join(fork.join(), fork.flows().size()));
                 for (Flow flow : fork.flows()) {
                     enact(new Branch(flow, joining, failure));
@@ -185,7 +186,8 @@
     }
 
     /** O1 and O2; an endless or regenerates its closure with all its alternatives, the tried one moved to the end. */
-    private static Branch alternative(Flow.Or or, Stack success, Stack failure, boolean endless) {
+    private static Branch alternative(
+            Flow.Or or, ContinuationStack success, ContinuationStack failure, boolean endless) {
         List<Flow> flows = or.flows();
         Flow first = flows.get(0);
         List<Flow> rest = new ArrayList<>(flows.subList(1, flows.size()));
@@ -196,7 +198,7 @@
             return new Branch(first, success, failure);
         }
         Flow closure = new Flow.OrClosure(new Flow.Or(List.copyOf(rest)), success, failure, endless);
-        return new Branch(first, success, new Stack(List.of(closure)));
+        return new Branch(first, success, new ContinuationStack(List.of(closure)));
     }
 
     private Branch take(String activity) {
--- a/src/main/java/org/spoolline/pipeline/StackCodec.java
+++ b/src/main/java/org/spoolline/pipeline/ContinuationStackCodec.java
@@ -10,13 +10,13 @@
 import org.spoolline.net.Json;
 
 /** Frames and stacks as compact JSON: an array whose first element names the kind of frame. */
-public final class StackCodec {
-    private StackCodec() {}
+public final class ContinuationStackCodec {
+    private ContinuationStackCodec() {}
 
-    public static JsonNode encode(Cekk.State state) {
+    public static JsonNode encode(CekkMachine.State state) {
         ObjectNode node = Json.object();
         ArrayNode branches = node.putArray("b");
-        for (Cekk.Branch b : state.branches()) {
+        for (CekkMachine.Branch b : state.branches()) {
             ArrayNode branch = branches.addArray();
             branch.add(flow(b.control()));
             branch.add(stack(b.success()));
@@ -37,36 +37,36 @@
         return node;
     }
 
-    public static Cekk.State decode(JsonNode node) {
-        List<Cekk.Branch> branches = new ArrayList<>();
+    public static CekkMachine.State decode(JsonNode node) {
+        List<CekkMachine.Branch> branches = new ArrayList<>();
         for (JsonNode b : node.path("b")) {
-            branches.add(new Cekk.Branch(flow(b.get(0)), stack(b.get(1)), stack(b.get(2))));
+            branches.add(new CekkMachine.Branch(flow(b.get(0)), stack(b.get(1)), stack(b.get(2))));
         }
-        Map<String, Cekk.Status> statuses = new LinkedHashMap<>();
+        Map<String, CekkMachine.Status> statuses = new LinkedHashMap<>();
         node.path("e")
                 .properties()
                 .forEach(e -> statuses.put(
                         e.getKey(),
                         switch (e.getValue().asText()) {
-                            case "S" -> Cekk.Status.SUCCEEDED;
-                            case "F" -> Cekk.Status.FAILED;
-                            default -> Cekk.Status.CANCELLED;
+                            case "S" -> CekkMachine.Status.SUCCEEDED;
+                            case "F" -> CekkMachine.Status.FAILED;
+                            default -> CekkMachine.Status.CANCELLED;
                         }));
         Map<String, Integer> joined = new LinkedHashMap<>();
         node.path("j")
                 .properties()
                 .forEach(e -> joined.put(e.getKey(), e.getValue().asInt()));
-        return new Cekk.State(branches, statuses, joined, node.path("f").asBoolean());
+        return new CekkMachine.State(branches, statuses, joined, node.path("f").asBoolean());
     }
 
-    private static ArrayNode stack(Stack stack) {
+    private static ArrayNode stack(ContinuationStack stack) {
         ArrayNode frames = Json.array();
         stack.frames().forEach(f -> frames.add(flow(f)));
         return frames;
     }
 
-    private static Stack stack(JsonNode node) {
-        return new Stack(flows(node, 0));
+    private static ContinuationStack stack(JsonNode node) {
+        return new ContinuationStack(flows(node, 0));
     }
 
     private static ArrayNode flow(Flow flow) {
--- a/src/main/java/org/spoolline/pipeline/Flow.java
+++ b/src/main/java/org/spoolline/pipeline/Flow.java
@@ -23,7 +23,7 @@
      * The or-closure of rule O2: the alternatives left, with the stacks as they were before the or flow. One that is
      * {@code endless} regenerates itself on use, because the users' jobs can never be called failed.
      */
-    record OrClosure(Or rest, Stack success, Stack failure, boolean endless) implements Flow {}
+    record OrClosure(Or rest, ContinuationStack success, ContinuationStack failure, boolean endless) implements Flow {}
 
     /** Where the branches of a fork meet; it succeeds once {@code needed} of them have. */
     record Join(String name, int needed) implements Flow {}
--- a/src/main/java/org/spoolline/pipeline/Pipeline.java
+++ b/src/main/java/org/spoolline/pipeline/Pipeline.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import org.agrona.collections.Hashing;
 import org.agrona.collections.Int2ObjectHashMap;
+import org.spoolline.config.Constants;
 import org.spoolline.net.Json;
-import org.spoolline.settings.Constants;
 
 /**
  * A job as the one stored value of the design: submission, CEKK state, wide join, current attempts and retry state.
@@ -34,11 +34,11 @@
     private Submission spec;
     private JsonNode rawSpec;
     private final long submittedAt;
-    private long releasedAt;
+    private long eligibleAt;
     private boolean cancelled;
-    private Cekk.State cekk;
-    private int low;
-    private final BitSet window;
+    private CekkMachine.State cekk;
+    private int completedBelow;
+    private final BitSet completedWindow;
     private long lastAttempt;
     /** By task: a task has one attempt at most. */
     private final Int2ObjectHashMap<Attempt> attempts;
@@ -47,7 +47,7 @@
     private long notBefore;
     private final Set<String> avoided;
     /** Attempts of a cancelled job that the value has no room to list. */
-    private int unlisted;
+    private int unlistedAttempts;
 
     private Pipeline(
             Submission spec,
@@ -55,7 +55,7 @@
             long submittedAt,
             long releasedAt,
             boolean cancelled,
-            Cekk.State cekk,
+            CekkMachine.State cekk,
             int low,
             BitSet window,
             long lastAttempt,
@@ -66,11 +66,11 @@
         this.spec = spec;
         this.rawSpec = rawSpec;
         this.submittedAt = submittedAt;
-        this.releasedAt = releasedAt;
+        this.eligibleAt = releasedAt;
         this.cancelled = cancelled;
         this.cekk = cekk;
-        this.low = low;
-        this.window = window;
+        this.completedBelow = low;
+        this.completedWindow = window;
         this.lastAttempt = lastAttempt;
         this.attempts = attempts;
         this.failures = failures;
@@ -86,7 +86,7 @@
                 submittedAt,
                 submittedAt,
                 false,
-                enacted(spec.prerequisites()),
+                enacted(spec.dependencies()),
                 0,
                 new BitSet(),
                 0,
@@ -98,22 +98,23 @@
 
     /** With iterators of their own: a cached one would break when loops over the same attempts nest. */
     private static Int2ObjectHashMap<Attempt> noAttempts() {
-        return new Int2ObjectHashMap<>(Constants.FEW_ATTEMPTS, Hashing.DEFAULT_LOAD_FACTOR, false);
+        return new Int2ObjectHashMap<>(Constants.Job.INITIAL_ATTEMPTS, Hashing.DEFAULT_LOAD_FACTOR, false);
     }
 
     /**
      * The job's activity under an or-closure that regenerates itself: a users' job is never called failed. Before it, a
      * fork over the prerequisites, whose branches have an empty failure stack: if one fails, the tasks are cancelled.
      */
-    private static Cekk.State enacted(List<String> prerequisites) {
+    private static CekkMachine.State enacted(List<String> prerequisites) {
         Flow.Activity job = new Flow.Activity(ACTIVITY);
-        Flow endless = new Flow.OrClosure(new Flow.Or(List.of(job)), Stack.BOTTOM, Stack.BOTTOM, true);
+        Flow endless =
+                new Flow.OrClosure(new Flow.Or(List.of(job)), ContinuationStack.BOTTOM, ContinuationStack.BOTTOM, true);
         if (prerequisites.isEmpty()) {
-            return Cekk.start(job, Stack.BOTTOM.push(endless));
+            return CekkMachine.start(job, ContinuationStack.BOTTOM.push(endless));
         }
         List<Flow> needed = new ArrayList<>();
-        prerequisites.forEach(uid -> needed.add(new Flow.Activity(uid)));
-        return Cekk.start(new Flow.Seq(List.of(new Flow.Fork(PREREQUISITES_JOIN, needed), endless)));
+        prerequisites.forEach(jobId -> needed.add(new Flow.Activity(jobId)));
+        return CekkMachine.start(new Flow.Seq(List.of(new Flow.Fork(PREREQUISITES_JOIN, needed), endless)));
     }
 
     public Pipeline copy() {
@@ -121,17 +122,17 @@
                 spec,
                 rawSpec,
                 submittedAt,
-                releasedAt,
+                eligibleAt,
                 cancelled,
                 cekk,
-                low,
-                (BitSet) window.clone(),
+                completedBelow,
+                (BitSet) completedWindow.clone(),
                 lastAttempt,
                 new Int2ObjectHashMap<>(attempts),
                 failures,
                 notBefore,
                 new LinkedHashSet<>(avoided));
-        copy.unlisted = unlisted;
+        copy.unlistedAttempts = unlistedAttempts;
         return copy;
     }
 
@@ -139,8 +140,8 @@
         return spec;
     }
 
-    public String uid() {
-        return spec.uid();
+    public String jobId() {
+        return spec.jobId();
     }
 
     /** Time of day of the submission, in ms: the deadline counts from it. */
@@ -149,33 +150,33 @@
     }
 
     /** Time of day in ms from which the job waits for room: of the submission, or of the end of its last prerequisite. */
-    public long releasedAt() {
-        return releasedAt;
+    public long eligibleAt() {
+        return eligibleAt;
     }
 
     /** True while the job waits for prerequisites: it has no attempt and takes nothing of its team's share. */
-    public boolean waiting() {
-        return !spec.prerequisites().isEmpty();
+    public boolean hasUnsatisfiedDependencies() {
+        return !spec.dependencies().isEmpty();
     }
 
     /** Every prerequisite is done: their branches join, which pops the success stack to the tasks. */
-    public void release(long timeOfDay) {
-        for (String uid : spec.prerequisites()) {
-            cekk = Cekk.succeeded(cekk, uid);
+    public void satisfyDependencies(long timeOfDay) {
+        for (String jobId : spec.dependencies()) {
+            cekk = CekkMachine.succeeded(cekk, jobId);
         }
         if (!cekk.active().equals(List.of(ACTIVITY))) {
-            throw new IllegalStateException(uid() + " does not go on to its tasks");
+            throw new IllegalStateException(jobId() + " does not go on to its tasks");
         }
         // The environment of a join that is over is of no more use, and would take room in the value.
         cekk = enacted(List.of());
-        spec = spec.withoutPrerequisites();
+        spec = spec.withoutDependencies();
         rawSpec = SubmissionCodec.encode(spec);
-        releasedAt = timeOfDay;
+        eligibleAt = timeOfDay;
     }
 
     /** A prerequisite was cancelled: its branch fails, and with no other way left the tasks are cancelled. */
-    public void prerequisiteCancelled(String uid) {
-        cekk = Cekk.failed(cekk, uid);
+    public void cancelWithDependency(String jobId) {
+        cekk = CekkMachine.failed(cekk, jobId);
         cancelled |= cekk.failing();
     }
 
@@ -184,7 +185,7 @@
     }
 
     /** True when a stored value is that of a cancelled job, without reading the rest of it. */
-    public static boolean saysCancelled(JsonNode stored) {
+    public static boolean isStoredAsCancelled(JsonNode stored) {
         return stored.path("cancelled").asBoolean();
     }
 
@@ -194,7 +195,7 @@
     }
 
     /** True when this very attempt is among them. */
-    public boolean holds(Attempt attempt) {
+    public boolean hasAttempt(Attempt attempt) {
         return attempt.equals(attempts.get(attempt.task()));
     }
 
@@ -207,47 +208,47 @@
     }
 
     /** True once the join has succeeded and the success stack was popped to the empty flow. */
-    public boolean finished() {
-        return cekk.end() == Cekk.End.SUCCEEDED;
+    public boolean succeeded() {
+        return cekk.end() == CekkMachine.End.SUCCEEDED;
     }
 
-    public boolean taskDone(int task) {
-        return task < low || window.get(task - low);
+    public boolean isTaskCompleted(int task) {
+        return task < completedBelow || completedWindow.get(task - completedBelow);
     }
 
-    public int doneCount() {
-        return low + window.cardinality();
+    public int completedTasks() {
+        return completedBelow + completedWindow.cardinality();
     }
 
     /** A task completed: it joins; the last one makes the activity succeed (A2) and pops the success stack. */
-    public void complete(int task) {
-        if (finished() || taskDone(task)) {
+    public void completeTask(int task) {
+        if (succeeded() || isTaskCompleted(task)) {
             return;
         }
-        window.set(task - low);
-        int first = window.nextClearBit(0);
+        completedWindow.set(task - completedBelow);
+        int first = completedWindow.nextClearBit(0);
         if (first > 0) {
-            low += first;
-            BitSet rest = window.get(first, Math.max(first, window.length()));
-            window.clear();
-            window.or(rest);
+            completedBelow += first;
+            BitSet rest = completedWindow.get(first, Math.max(first, completedWindow.length()));
+            completedWindow.clear();
+            completedWindow.or(rest);
         }
-        if (doneCount() == spec.tasks()) {
-            cekk = Cekk.succeeded(cekk, ACTIVITY);
+        if (completedTasks() == spec.tasks()) {
+            cekk = CekkMachine.succeeded(cekk, ACTIVITY);
         }
     }
 
     /** A task failed: the failure stack (A3, O3) sets the job up for another way, elsewhere and later. */
-    public void fail(String machine, long timeOfDay) {
-        if (finished()) {
+    public void recordTaskFailure(String machine, long timeOfDay) {
+        if (succeeded()) {
             return;
         }
-        cekk = Cekk.failed(cekk, ACTIVITY);
-        int doublings = Math.min(failures, Constants.FAILURE_PAUSE_DOUBLINGS);
+        cekk = CekkMachine.failed(cekk, ACTIVITY);
+        int doublings = Math.min(failures, Constants.Job.FAILURE_BACKOFF_DOUBLINGS);
         failures++;
-        notBefore = timeOfDay + (Constants.FAILURE_PAUSE_MS << doublings);
+        notBefore = timeOfDay + (Constants.Job.FAILURE_BACKOFF_MS << doublings);
         avoided.add(machine);
-        if (avoided.size() > Constants.AVOIDED_MACHINES) {
+        if (avoided.size() > Constants.Job.AVOIDED_MACHINES_MAX) {
             avoided.remove(avoided.iterator().next());
         }
     }
@@ -257,7 +258,7 @@
     }
 
     /** A pause without blame, after a start that was refused. */
-    public void pauseUntil(long timeOfDay) {
+    public void backOffUntil(long timeOfDay) {
         notBefore = Math.max(notBefore, timeOfDay);
     }
 
@@ -270,34 +271,34 @@
      * their number is kept: it counts against the team's limit until cancel_s after this was stored, by when no task of a
      * cancelled job is on any machine. Workers end a task that no value lists as soon as they report it.
      */
-    public void cancelUnlisted() {
+    public void cancelWithUnlistedAttempts() {
         cancelled = true;
-        unlisted += attempts.size();
+        unlistedAttempts += attempts.size();
         attempts.clear();
     }
 
     /** Number of attempts that may still be on machines, though the value does not list them. */
-    public int unlisted() {
-        return unlisted;
+    public int unlistedAttempts() {
+        return unlistedAttempts;
     }
 
     /** The time by which unlisted attempts are gone is over. */
-    public void unlistedAreGone() {
-        unlisted = 0;
+    public void clearUnlistedAttempts() {
+        unlistedAttempts = 0;
     }
 
     /** True once a cancelled job has no attempt left, so that its lasting record can take the value's place. */
-    public boolean cancelledAndGone() {
-        return cancelled && attempts.isEmpty() && unlisted == 0;
+    public boolean cancelledWithoutAttempts() {
+        return cancelled && attempts.isEmpty() && unlistedAttempts == 0;
     }
 
     /** Bytes by which the stored join may still grow, at most, as tasks end in any order. */
     public int joinGrowthBytes() {
-        int end = window.length();
-        for (Attempt a : attempts.values()) {
-            end = Math.max(end, a.task() + 1 - low);
+        int end = completedWindow.length();
+        for (Attempt attempt : attempts.values()) {
+            end = Math.max(end, attempt.task() + 1 - completedBelow);
         }
-        return base64Length(end) - base64Length(window.length());
+        return base64Length(end) - base64Length(completedWindow.length());
     }
 
     private static int base64Length(int bits) {
@@ -306,51 +307,51 @@
     }
 
     /** An attempt that was decided but not stored leaves no trace. */
-    public void withdraw(Attempt attempt) {
-        if (holds(attempt)) {
+    public void withdrawAttempt(Attempt attempt) {
+        if (hasAttempt(attempt)) {
             attempts.remove(attempt.task());
         }
     }
 
     /** An attempt has ended with its task done. */
-    public void finish(Attempt attempt) {
-        withdraw(attempt);
-        complete(attempt.task());
+    public void completeAttempt(Attempt attempt) {
+        withdrawAttempt(attempt);
+        completeTask(attempt.task());
     }
 
     /** An attempt has ended otherwise: its task may start again, but never under the same number. */
-    public void lose(Attempt attempt) {
-        withdraw(attempt);
+    public void loseAttempt(Attempt attempt) {
+        withdrawAttempt(attempt);
         lastAttempt = Math.max(lastAttempt, attempt.number() + 1);
     }
 
     /** True once a task of the job has been placed. */
-    public boolean begun() {
+    public boolean hasStarted() {
         return lastAttempt > 0;
     }
 
     /**
-     * Number for new starts. The numbers of any one task only grow, since {@link #lose} goes past the one lost; tasks
+     * Number for new starts. The numbers of any one task only grow, since {@link #loseAttempt} goes past the one lost; tasks
      * that start for the first time share a number, and with it their machine's place in the stored form.
      */
-    public long nextAttempt() {
+    public long nextAttemptNumber() {
         lastAttempt = Math.max(lastAttempt, 1);
         return lastAttempt;
     }
 
-    public void place(Attempt attempt) {
+    public void addAttempt(Attempt attempt) {
         attempts.put(attempt.task(), attempt);
     }
 
     /** Tasks neither done nor on a machine, lowest first, at most {@code most}, within the join's window. */
-    public List<Integer> ready(int most) {
+    public List<Integer> unplacedTasks(int most) {
         List<Integer> found = new ArrayList<>();
-        if (cancelled || finished()) {
+        if (cancelled || succeeded()) {
             return found;
         }
-        int end = Math.min(spec.tasks(), low + Constants.JOIN_WINDOW);
-        for (int task = low; task < end && found.size() < most; task++) {
-            if (!taskDone(task) && !attempts.containsKey(task)) {
+        int end = Math.min(spec.tasks(), completedBelow + Constants.Job.JOIN_WINDOW);
+        for (int task = completedBelow; task < end && found.size() < most; task++) {
+            if (!isTaskCompleted(task) && !attempts.containsKey(task)) {
                 found.add(task);
             }
         }
@@ -358,42 +359,42 @@
     }
 
     /** Number of tasks neither done nor on a machine. */
-    public int readyCount() {
-        if (cancelled || finished()) {
+    public int unplacedTaskCount() {
+        if (cancelled || succeeded()) {
             return 0;
         }
         int held = 0;
-        for (Attempt a : attempts.values()) {
-            if (!taskDone(a.task())) {
+        for (Attempt attempt : attempts.values()) {
+            if (!isTaskCompleted(attempt.task())) {
                 held++;
             }
         }
-        return spec.tasks() - doneCount() - held;
+        return spec.tasks() - completedTasks() - held;
     }
 
     /** The stored form. */
     public ObjectNode encode() {
-        boolean withoutTasks = waiting() || unlisted > 0;
-        int version = withoutTasks ? Constants.PIPELINE_VERSION_DEPENDENT : Constants.PIPELINE_VERSION;
+        boolean withoutTasks = hasUnsatisfiedDependencies() || unlistedAttempts > 0;
+        int version = withoutTasks ? Constants.Job.PIPELINE_VERSION_DEPENDENT : Constants.Job.PIPELINE_VERSION;
         ObjectNode value = Json.object().put("ver", version);
         value.set("job", rawSpec);
-        value.put("at", releasedAt);
+        value.put("at", eligibleAt);
         if (cancelled) {
             value.put("cancelled", true);
         }
-        if (unlisted > 0) {
-            value.put("unlisted", unlisted);
+        if (unlistedAttempts > 0) {
+            value.put("unlisted", unlistedAttempts);
         }
         if (withoutTasks) {
             return value;
         }
-        if (submittedAt != releasedAt) {
+        if (submittedAt != eligibleAt) {
             value.put("sub", submittedAt);
         }
-        value.set("k", StackCodec.encode(cekk));
-        value.put("low", low);
-        if (!window.isEmpty()) {
-            value.put("win", Base64.getEncoder().withoutPadding().encodeToString(window.toByteArray()));
+        value.set("k", ContinuationStackCodec.encode(cekk));
+        value.put("low", completedBelow);
+        if (!completedWindow.isEmpty()) {
+            value.put("win", Base64.getEncoder().withoutPadding().encodeToString(completedWindow.toByteArray()));
         }
         value.put("n", lastAttempt);
         if (!attempts.isEmpty()) {
@@ -412,15 +413,15 @@
 
     /** Reads the stored form, of any version that was ever written. */
     public static Pipeline decode(JsonNode value) {
-        if (value.path("ver").asInt() == Constants.PIPELINE_VERSION_DEPENDENT) {
+        if (value.path("ver").asInt() == Constants.Job.PIPELINE_VERSION_DEPENDENT) {
             return decodeWithoutTasks(value);
         }
         Int2ObjectHashMap<Attempt> attempts = noAttempts();
         long last = value.path("n").asLong();
         switch (value.path("ver").asInt()) {
-            case Constants.PIPELINE_VERSION -> AttemptsCodec.decode(
-                    value.path("on"), last, a -> attempts.put(a.task(), a));
-            case Constants.PIPELINE_VERSION_BEFORE -> decodeRuns(value.path("on"), attempts);
+            case Constants.Job.PIPELINE_VERSION -> AttemptsCodec.decode(
+                    value.path("on"), last, attempt -> attempts.put(attempt.task(), attempt));
+            case Constants.Job.PIPELINE_VERSION_LEGACY -> decodeRuns(value.path("on"), attempts);
             default -> throw new IllegalArgumentException("pipeline value of unknown version " + value.path("ver"));
         }
         Set<String> avoided = new LinkedHashSet<>();
@@ -429,12 +430,12 @@
         BitSet window =
                 BitSet.valueOf(Base64.getDecoder().decode(value.path("win").asText("")));
         return new Pipeline(
-                SubmissionCodec.trusted(raw),
+                SubmissionCodec.decodeStored(raw),
                 raw,
                 value.path("sub").asLong(value.path("at").asLong()),
                 value.path("at").asLong(),
-                saysCancelled(value),
-                StackCodec.decode(value.path("k")),
+                isStoredAsCancelled(value),
+                ContinuationStackCodec.decode(value.path("k")),
                 value.path("low").asInt(),
                 window,
                 last,
@@ -451,10 +452,10 @@
     private static Pipeline decodeWithoutTasks(JsonNode value) {
         JsonNode raw = value.path("job");
         Pipeline decoded =
-                accept(SubmissionCodec.trusted(raw), raw, value.path("at").asLong());
-        decoded.cancelled = saysCancelled(value);
-        decoded.unlisted = value.path("unlisted").asInt();
-        if (!decoded.waiting() && decoded.unlisted <= 0) {
+                accept(SubmissionCodec.decodeStored(raw), raw, value.path("at").asLong());
+        decoded.cancelled = isStoredAsCancelled(value);
+        decoded.unlistedAttempts = value.path("unlisted").asInt();
+        if (!decoded.hasUnsatisfiedDependencies() && decoded.unlistedAttempts <= 0) {
             throw new IllegalArgumentException("stored pipeline neither waits nor has unlisted attempts");
         }
         return decoded;
--- a/src/main/java/org/spoolline/pipeline/Submission.java
+++ b/src/main/java/org/spoolline/pipeline/Submission.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * What a user asked for, checked. {@code types} is null for any machine type, {@code zone} for any zone.
+ * What a user asked for, checked. {@code machineTypes} is null for any machine type, {@code zone} for any zone.
  *
- * @param prerequisites ids of the jobs that must be done before any task of this one starts, each once
+ * @param dependencies ids of the jobs that must be done before any task of this one starts, each once
  */
 public record Submission(
-        String uid,
+        String jobId,
         String jobClass,
         String team,
         Shape shape,
@@ -20,16 +20,16 @@
         double memoryGb,
         String image,
         double imageGb,
-        Set<String> types,
+        Set<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
-        boolean spot,
+        boolean singleZone,
+        boolean spreadAcrossZones,
+        boolean allowsSpot,
         double estimateS,
-        double checkpointS,
-        double saveS,
+        double checkpointIntervalS,
+        double checkpointSaveS,
         Double deadlineS,
-        List<String> prerequisites) {
+        List<String> dependencies) {
 
     /** Independent tasks; tasks that run together or not at all; tasks kept running until the user cancels. */
     public enum Shape {
@@ -51,9 +51,9 @@
     }
 
     /** The same job without prerequisites, once they are all done. */
-    Submission withoutPrerequisites() {
+    Submission withoutDependencies() {
         return new Submission(
-                uid,
+                jobId,
                 jobClass,
                 team,
                 shape,
@@ -64,41 +64,41 @@
                 memoryGb,
                 image,
                 imageGb,
-                types,
+                machineTypes,
                 zone,
-                oneZone,
-                spread,
-                spot,
+                singleZone,
+                spreadAcrossZones,
+                allowsSpot,
                 estimateS,
-                checkpointS,
-                saveS,
+                checkpointIntervalS,
+                checkpointSaveS,
                 deadlineS,
                 List.of());
     }
 
     /** A task that saves its progress when it is stopped with enough grace. */
-    public boolean saves() {
-        return checkpointS > 0;
+    public boolean checkpoints() {
+        return checkpointIntervalS > 0;
     }
 
     /** Seconds of grace with which a task is stopped: enough to save, none where nothing is saved. */
     public double stopGraceS() {
-        return saves() ? saveS + 1 : 0;
+        return checkpoints() ? checkpointSaveS + 1 : 0;
     }
 
     /** Seconds of run time that a stop without grace throws away after so many. */
-    public double unsavedS(double ranS) {
-        return saves() ? ranS % checkpointS : ranS;
+    public double workSinceCheckpointS(double ranS) {
+        return checkpoints() ? ranS % checkpointIntervalS : ranS;
     }
 
     /** Seconds of run time that are lost, on average, when one task's machine vanishes; a gang loses them in each task. */
-    public double lossS() {
-        double once = (saves() ? Math.min(checkpointS, estimateS) : estimateS) / 2;
+    public double expectedLossS() {
+        double once = (checkpoints() ? Math.min(checkpointIntervalS, estimateS) : estimateS) / 2;
         return gang() ? once * tasks : once;
     }
 
     /** At most so many of the tasks may be in one zone. */
-    public int zoneLimit() {
-        return spread ? (tasks + 1) / 2 : tasks;
+    public int maxTasksPerZone() {
+        return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
     }
 }
--- a/src/main/java/org/spoolline/pipeline/SubmissionCodec.java
+++ b/src/main/java/org/spoolline/pipeline/SubmissionCodec.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.regex.Pattern;
+import org.spoolline.config.Constants;
 import org.spoolline.net.Json;
-import org.spoolline.settings.Constants;
 
 /** A submission's wire form: checked on the way in, kept in the stored value by the same names. */
 public final class SubmissionCodec {
-    private static final String PREREQUISITES = "waitsOn";
+    private static final String DEPENDENCIES = "waitsOn";
     private static final Pattern UID = Pattern.compile("run-[0-9]{1,30}");
 
     /** The submission is malformed; the message names the field. */
@@ -26,8 +26,8 @@
 
     private SubmissionCodec() {}
 
-    public static boolean validUid(String uid) {
-        return UID.matcher(uid).matches();
+    public static boolean isValidJobId(String jobId) {
+        return UID.matcher(jobId).matches();
     }
 
     /** Parses and checks a user's body. */
@@ -35,8 +35,8 @@
         if (!in.isObject()) {
             throw new Malformed("the body is not a JSON object");
         }
-        String uid = text(in, "uid");
-        if (!validUid(uid)) {
+        String jobId = text(in, "uid");
+        if (!isValidJobId(jobId)) {
             throw new Malformed("uid");
         }
         Submission.Shape shape =
@@ -58,7 +58,7 @@
         if (!slips.isIntegralNumber()
                 || !slips.canConvertToInt()
                 || slips.asInt() < 1
-                || slips.asInt() > Constants.MAX_TASKS) {
+                || slips.asInt() > Constants.Job.MAX_TASKS) {
             throw new Malformed("slips");
         }
         Set<String> builds = null;
@@ -87,7 +87,7 @@
         }
         Double due = absent(in.path("dueS")) ? null : Double.valueOf(amount(in, "dueS"));
         return new Submission(
-                uid,
+                jobId,
                 text(in, "lane"),
                 text(in, "desk"),
                 shape,
@@ -107,13 +107,13 @@
                 amount(in, "bookmarkS"),
                 amount(in, "stashS"),
                 due,
-                prerequisites(in.path(PREREQUISITES)));
+                dependencies(in.path(DEPENDENCIES)));
     }
 
     /** The compact stored form: the known fields only. */
     public static ObjectNode encode(Submission s) {
         ObjectNode out = Json.object()
-                .put("uid", s.uid())
+                .put("uid", s.jobId())
                 .put("lane", s.jobClass())
                 .put("desk", s.team())
                 .put(
@@ -130,15 +130,15 @@
                 .put("memGb", s.memoryGb())
                 .put("plate", s.image())
                 .put("imageGb", s.imageGb())
-                .put("samePlace", s.oneZone())
-                .put("scatter", s.spread())
-                .put("standby", s.spot())
+                .put("samePlace", s.singleZone())
+                .put("scatter", s.spreadAcrossZones())
+                .put("standby", s.allowsSpot())
                 .put("expectS", s.estimateS())
-                .put("bookmarkS", s.checkpointS())
-                .put("stashS", s.saveS());
-        if (s.types() != null) {
+                .put("bookmarkS", s.checkpointIntervalS())
+                .put("stashS", s.checkpointSaveS());
+        if (s.machineTypes() != null) {
             ArrayNode types = out.putArray("builds");
-            s.types().forEach(types::add);
+            s.machineTypes().forEach(types::add);
         }
         if (s.zone() != null) {
             out.put("yard", s.zone());
@@ -146,15 +146,15 @@
         if (s.deadlineS() != null) {
             out.put("dueS", s.deadlineS());
         }
-        if (!s.prerequisites().isEmpty()) {
-            ArrayNode prerequisites = out.putArray(PREREQUISITES);
-            s.prerequisites().forEach(prerequisites::add);
+        if (!s.dependencies().isEmpty()) {
+            ArrayNode prerequisites = out.putArray(DEPENDENCIES);
+            s.dependencies().forEach(prerequisites::add);
         }
         return out;
     }
 
     /** Reads a stored form, which was checked before it was stored. */
-    public static Submission trusted(JsonNode stored) {
+    public static Submission decodeStored(JsonNode stored) {
         try {
             return parse(stored);
         } catch (Malformed e) {
@@ -163,21 +163,21 @@
     }
 
     /** The ids of the jobs to wait for, each once; null, absent and empty all mean none. */
-    private static List<String> prerequisites(JsonNode in) throws Malformed {
+    private static List<String> dependencies(JsonNode in) throws Malformed {
         if (absent(in)) {
             return List.of();
         }
         if (!in.isArray()) {
-            throw new Malformed(PREREQUISITES);
+            throw new Malformed(DEPENDENCIES);
         }
-        Set<String> uids = new LinkedHashSet<>();
-        for (JsonNode uid : in) {
-            if (!uid.isTextual() || !validUid(uid.asText())) {
-                throw new Malformed(PREREQUISITES);
+        Set<String> jobIds = new LinkedHashSet<>();
+        for (JsonNode jobId : in) {
+            if (!jobId.isTextual() || !isValidJobId(jobId.asText())) {
+                throw new Malformed(DEPENDENCIES);
             }
-            uids.add(uid.asText());
+            jobIds.add(jobId.asText());
         }
-        return List.copyOf(uids);
+        return List.copyOf(jobIds);
     }
 
     private static boolean absent(JsonNode node) {
@@ -186,7 +186,7 @@
 
     private static String text(JsonNode in, String name) throws Malformed {
         JsonNode value = in.path(name);
-        if (!value.isTextual() || value.asText().isEmpty() || value.asText().length() > Constants.MAX_NAME) {
+        if (!value.isTextual() || value.asText().isEmpty() || value.asText().length() > Constants.Job.MAX_NAME) {
             throw new Malformed(name);
         }
         return value.asText();
--- a/src/main/java/org/spoolline/placement/Consolidation.java
+++ b/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
@@ -1,4 +1,4 @@
-package org.spoolline.placement;
+package org.spoolline.scheduler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,64 +7,70 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.spoolline.cluster.Machine;
+import org.spoolline.config.Constants;
 import org.spoolline.pipeline.Attempt;
+import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
-import org.spoolline.settings.Constants;
-import org.spoolline.workers.Machine;
 
 /**
  * Decides which machines to empty while nothing waits: after a burst its long tasks are scattered, a few on each machine,
  * and all the machines are paid for. Tasks that save move to others that have their image and stay in use anyway. Room for
  * as much as jobs have asked for lately is left. Pure.
  */
-final class Consolidation {
+final class ConsolidationPlanner {
     /** One task with its job, on the machine that may be emptied. */
     private record Moving(Pipeline job, Attempt attempt) {}
 
     private final ClusterSnapshot snapshot;
-    private final List<Node> nodes;
+    private final List<SchedulableMachine> nodes;
     private final Map<String, List<Moving>> on = new HashMap<>();
 
-    private Consolidation(ClusterSnapshot snapshot, List<Node> nodes) {
+    private ConsolidationPlanner(ClusterSnapshot snapshot, List<SchedulableMachine> nodes) {
         this.snapshot = snapshot;
         this.nodes = nodes;
     }
 
     /** Names of the machines to empty; {@code nodes} have the room that is left beside all work. */
-    static Set<String> evacuated(ClusterSnapshot snapshot, List<Node> nodes) {
-        return new Consolidation(snapshot, nodes).evacuated();
+    static Set<String> evacuated(ClusterSnapshot snapshot, List<SchedulableMachine> nodes) {
+        return new ConsolidationPlanner(snapshot, nodes).evacuated();
     }
 
     private Set<String> evacuated() {
-        double spare = nodes.stream().mapToDouble(Node::cores).sum()
-                - ClusterSnapshot.askedCores(snapshot.jobs(), snapshot.timeOfDay());
+        double spare = nodes.stream().mapToDouble(SchedulableMachine::cores).sum()
+                - ClusterSnapshot.recentlyRequestedCores(snapshot.jobs(), snapshot.timeOfDay());
         if (spare <= 0) {
             return Set.of();
         }
         for (Pipeline job : snapshot.jobs()) {
-            for (Attempt a : snapshot.held(job)) {
-                on.computeIfAbsent(a.machine(), m -> new ArrayList<>()).add(new Moving(job, a));
+            for (Attempt attempt : snapshot.held(job)) {
+                on.computeIfAbsent(attempt.machine(), m -> new ArrayList<>()).add(new Moving(job, attempt));
             }
         }
-        List<Node> emptiest = new ArrayList<>();
-        for (Node node : nodes) {
+        List<SchedulableMachine> emptiest = new ArrayList<>();
+        for (SchedulableMachine node : nodes) {
             if (node.reservedFor() == null && worthEmptying(node)) {
                 emptiest.add(node);
             }
         }
-        emptiest.sort(Comparator.comparingDouble(Node::usedShare).thenComparing(n -> n.machine.name()));
-        List<Node> fullest = new ArrayList<>(nodes);
-        fullest.removeIf(
-                n -> n.reservedFor() != null || n.cores() < Constants.EPSILON || !on.containsKey(n.machine.name()));
-        fullest.sort(Comparator.comparingDouble(Node::usedShare).reversed().thenComparing(n -> n.machine.name()));
+        emptiest.sort(
+                Comparator.comparingDouble(SchedulableMachine::utilization).thenComparing(n -> n.machine.name()));
+        List<SchedulableMachine> fullest = new ArrayList<>(nodes);
+        fullest.removeIf(n -> n.reservedFor() != null
+                || n.cores() < Constants.Placement.EPSILON
+                || !on.containsKey(n.machine.name()));
+        fullest.sort(Comparator.comparingDouble(SchedulableMachine::utilization)
+                .reversed()
+                .thenComparing(n -> n.machine.name()));
         Set<String> evacuated = new LinkedHashSet<>();
         Set<String> receiving = new LinkedHashSet<>();
-        for (Node node : emptiest.subList(0, Math.min(emptiest.size(), Constants.EVACUATE_TRIES))) {
+        for (SchedulableMachine node :
+                emptiest.subList(0, Math.min(emptiest.size(), Constants.Placement.CONSOLIDATION_CANDIDATES_MAX))) {
             if (node.type.cores() > spare || receiving.contains(node.machine.name())) {
                 continue;
             }
-            Map<Node, List<Submission>> taken = new HashMap<>();
+            Map<SchedulableMachine, List<Submission>> taken = new HashMap<>();
             if (fits(node, fullest, evacuated, taken)) {
                 evacuated.add(node.machine.name());
                 taken.keySet().forEach(n -> receiving.add(n.machine.name()));
@@ -77,37 +83,42 @@
     }
 
     /** At most half in use, by tasks of arrays that save, have run for a while, and are expected to go on for a while. */
-    private boolean worthEmptying(Node node) {
+    private boolean worthEmptying(SchedulableMachine node) {
         List<Moving> here = on.getOrDefault(node.machine.name(), List.of());
         return !here.isEmpty()
-                && node.usedShare() <= Constants.EVACUATE_SHARE
+                && node.utilization() <= Constants.Placement.CONSOLIDATION_UTILIZATION_MAX
                 && here.stream().allMatch(this::movable);
     }
 
     private boolean movable(Moving moving) {
         Submission spec = moving.job().spec();
         Machine machine = snapshot.machines().get(moving.attempt().machine());
-        double ranS = machine.ranMs(Machine.Start.of(moving.job().uid(), moving.attempt()), snapshot.now()) / 1000.0;
+        double ranS =
+                machine.observedRunMs(AttemptId.of(moving.job().jobId(), moving.attempt()), snapshot.now()) / 1000.0;
         return !spec.gang()
-                && spec.saves()
+                && spec.checkpoints()
                 && !moving.job().cancelled()
-                && ranS >= Constants.EVACUATE_RAN_S
-                && spec.estimateS() - ranS >= Constants.EVACUATE_LEFT_S;
+                && ranS >= Constants.Placement.CONSOLIDATION_MIN_RUN_S
+                && spec.estimateS() - ranS >= Constants.Placement.CONSOLIDATION_MIN_REMAINING_S;
     }
 
     /** Takes room for all the node's tasks on others that have work, fullest first; false when some find none. */
-    private boolean fits(Node node, List<Node> fullest, Set<String> evacuated, Map<Node, List<Submission>> taken) {
+    private boolean fits(
+            SchedulableMachine node,
+            List<SchedulableMachine> fullest,
+            Set<String> evacuated,
+            Map<SchedulableMachine, List<Submission>> taken) {
         for (Moving moving : on.get(node.machine.name())) {
             Submission spec = moving.job().spec();
-            Node found = null;
-            for (Node other : fullest) {
+            SchedulableMachine found = null;
+            for (SchedulableMachine other : fullest) {
                 if (other != node
                         && !evacuated.contains(other.machine.name())
-                        && other.openTo(moving.job())
+                        && other.accepts(moving.job())
                         && other.fits(spec)
                         && other.machine.hasImage(spec.image())
-                        && !spec.spread()
-                        && (!spec.oneZone() || other.zone.equals(node.zone))) {
+                        && !spec.spreadAcrossZones()
+                        && (!spec.singleZone() || other.zone.equals(node.zone))) {
                     found = other;
                     break;
                 }
@@ -115,7 +126,7 @@
             if (found == null) {
                 return false;
             }
-            found.take(spec);
+            found.allocate(spec);
             taken.computeIfAbsent(found, n -> new ArrayList<>()).add(spec);
         }
         return true;
--- a/src/main/java/org/spoolline/placement/CyclePacer.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePacer.java
@@ -1,8 +1,8 @@
-package org.spoolline.placement;
+package org.spoolline.scheduler;
 
-import org.spoolline.net.Loop;
-import org.spoolline.settings.Constants;
-import org.spoolline.settings.Settings;
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.net.EventLoop;
 
 /**
  * Decides when the next scheduling cycle runs. Cycles widen with the number of values that the last one changed. The first
@@ -10,13 +10,13 @@
  * heartbeats of workers whose leases run out, and without them a cycle knows of no machine.
  */
 final class CyclePacer {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
     private final Runnable cycle;
     private boolean scheduled;
     private long mayPutOffUntil;
 
-    CyclePacer(Loop loop, Settings settings, Runnable cycle) {
+    CyclePacer(EventLoop loop, Settings settings, Runnable cycle) {
         this.loop = loop;
         this.settings = settings;
         this.cycle = cycle;
@@ -25,7 +25,7 @@
 
     /** A term begins. */
     void begin() {
-        mayPutOffUntil = loop.now() + settings.workers().reportMs();
+        mayPutOffUntil = loop.now() + settings.workers().heartbeatMs();
     }
 
     /** Has a cycle run soon, unless one is to run already. {@code lastBatch} is how many values the last one changed. */
@@ -34,7 +34,7 @@
             return;
         }
         scheduled = true;
-        double load = Math.min(1.0, (double) lastBatch / Constants.CYCLE_FULL_BATCH);
+        double load = Math.min(1.0, (double) lastBatch / Constants.Cycle.CYCLE_FULL_BATCH);
         long narrowest = settings.operator().cycleMinMs();
         long width = narrowest + (long) (load * (settings.operator().cycleMaxMs() - narrowest));
         schedule(width);
@@ -46,7 +46,7 @@
     }
 
     private void runOrPutOff(long lateMs) {
-        if (lateMs > Constants.CYCLE_LATE_MS && loop.now() < mayPutOffUntil) {
+        if (lateMs > Constants.Cycle.CYCLE_LATE_MS && loop.now() < mayPutOffUntil) {
             schedule(lateMs);
             return;
         }
--- a/src/main/java/org/spoolline/placement/Dependencies.java
+++ b/src/main/java/org/spoolline/scheduler/DependencyTracker.java
@@ -1,4 +1,4 @@
-package org.spoolline.placement;
+package org.spoolline.scheduler;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,35 +11,37 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.spoolline.intake.FinalRecord;
-import org.spoolline.net.Loop;
+import org.spoolline.config.Constants;
+import org.spoolline.job.JobKeys;
+import org.spoolline.job.JobTable;
+import org.spoolline.job.TerminalRecord;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.net.EventLoop;
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
-import org.spoolline.settings.Constants;
-import org.spoolline.state.StateClient;
 
 /**
  * The leader's view of which job needs which, derived anew in each cycle from the live pipelines and the lasting records
  * of their prerequisites; nothing of it is stored. A job is released only on records that were read from the state
  * service or whose write it has confirmed. Records never change, so a release holds under any change of leader.
  */
-final class Dependencies {
-    private static final Logger LOG = LoggerFactory.getLogger(Dependencies.class);
+final class DependencyTracker {
+    private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
 
     /** What becomes of a waiting job in this cycle. */
     enum Verdict {
-        WAITS,
-        RELEASED,
+        UNSATISFIED,
+        SATISFIED,
         CANCELLED
     }
 
-    private final Loop loop;
-    private final StateClient state;
+    private final EventLoop loop;
+    private final KeyValueStoreClient store;
     private final JobTable jobs;
-    private final Runnable onNews;
+    private final Runnable onChange;
     private long term;
     /** Lasting records known of jobs that others wait for. */
-    private final Map<String, FinalRecord> records = new HashMap<>();
+    private final Map<String, TerminalRecord> records = new HashMap<>();
     /** Records that are being read. */
     private final Set<String> reading = new HashSet<>();
     /** Waiting jobs by each of their prerequisites. */
@@ -48,11 +50,11 @@
     private final Map<String, Verdict> verdicts = new HashMap<>();
     private final Map<String, Submission.Priority> inherited = new HashMap<>();
 
-    Dependencies(Loop loop, StateClient state, JobTable jobs, Runnable onNews) {
+    DependencyTracker(EventLoop loop, KeyValueStoreClient store, JobTable jobs, Runnable onNews) {
         this.loop = loop;
-        this.state = state;
+        this.store = store;
         this.jobs = jobs;
-        this.onNews = onNews;
+        this.onChange = onNews;
     }
 
     /** Forgets everything read in an earlier term; 0 ends the present one. */
@@ -66,8 +68,8 @@
     }
 
     /** The lasting record of a job is stored. */
-    void recorded(String uid, FinalRecord record) {
-        records.put(uid, record);
+    void recorded(String jobId, TerminalRecord record) {
+        records.put(jobId, record);
     }
 
     /** Judges every waiting job by what is known now, and asks for the records that are missing. */
@@ -77,10 +79,10 @@
         inherited.clear();
         List<JobTable.Entry> waiting = new ArrayList<>();
         for (JobTable.Entry entry : jobs.entries()) {
-            if (entry.confirmed().waiting()) {
+            if (entry.committed().hasUnsatisfiedDependencies()) {
                 waiting.add(entry);
-                for (String needed : entry.confirmed().spec().prerequisites()) {
-                    dependents.computeIfAbsent(needed, n -> new ArrayList<>()).add(entry.confirmed());
+                for (String needed : entry.committed().spec().dependencies()) {
+                    dependents.computeIfAbsent(needed, n -> new ArrayList<>()).add(entry.committed());
                 }
             }
         }
@@ -90,8 +92,8 @@
         }
         cancelDependents();
         for (JobTable.Entry entry : waiting) {
-            if (verdictOf(entry.confirmed()) == Verdict.WAITS && allDone(entry.confirmed())) {
-                verdicts.put(entry.confirmed().uid(), Verdict.RELEASED);
+            if (verdictOf(entry.committed()) == Verdict.UNSATISFIED && allDone(entry.committed())) {
+                verdicts.put(entry.committed().jobId(), Verdict.SATISFIED);
             }
         }
         inheritPriorities(waiting);
@@ -99,23 +101,23 @@
 
     /** What becomes of a job that waits for prerequisites, as of the last {@link #refresh}. */
     Verdict verdictOf(Pipeline waiting) {
-        return verdicts.getOrDefault(waiting.uid(), Verdict.WAITS);
+        return verdicts.getOrDefault(waiting.jobId(), Verdict.UNSATISFIED);
     }
 
     /** The job with the verdict carried out. */
     Pipeline step(Pipeline waiting) {
         Pipeline next = waiting.copy();
         switch (verdictOf(waiting)) {
-            case RELEASED -> {
-                next.release(loop.timeOfDay());
-                LOG.info("{} may start: all jobs that it needs are done", next.uid());
+            case SATISFIED -> {
+                next.satisfyDependencies(loop.timeOfDay());
+                LOG.info("{} may start: all jobs that it needs are done", next.jobId());
             }
             case CANCELLED -> {
-                waiting.spec().prerequisites().stream()
+                waiting.spec().dependencies().stream()
                         .filter(this::cancelled)
                         .findFirst()
-                        .ifPresent(next::prerequisiteCancelled);
-                LOG.info("{} is cancelled with a job that it needs", next.uid());
+                        .ifPresent(next::cancelWithDependency);
+                LOG.info("{} is cancelled with a job that it needs", next.jobId());
             }
             default -> {}
         }
@@ -137,58 +139,58 @@
         }
         while (!cancelled.isEmpty()) {
             for (Pipeline dependent : dependents.getOrDefault(cancelled.remove(), List.of())) {
-                if (verdicts.put(dependent.uid(), Verdict.CANCELLED) == null) {
-                    cancelled.add(dependent.uid());
+                if (verdicts.put(dependent.jobId(), Verdict.CANCELLED) == null) {
+                    cancelled.add(dependent.jobId());
                 }
             }
         }
     }
 
-    private boolean cancelled(String uid) {
-        JobTable.Entry live = jobs.get(uid);
+    private boolean cancelled(String jobId) {
+        JobTable.Entry live = jobs.get(jobId);
         if (live != null) {
-            return live.cancelled() || verdicts.get(uid) == Verdict.CANCELLED;
+            return live.cancelled() || verdicts.get(jobId) == Verdict.CANCELLED;
         }
-        FinalRecord record = records.get(uid);
+        TerminalRecord record = records.get(jobId);
         return record != null && !record.done();
     }
 
     /** True when the records of all prerequisites say done; those of jobs that are no longer live are asked for. */
     private boolean allDone(Pipeline waiting) {
         boolean all = true;
-        for (String uid : waiting.spec().prerequisites()) {
-            FinalRecord record = records.get(uid);
+        for (String jobId : waiting.spec().dependencies()) {
+            TerminalRecord record = records.get(jobId);
             if (record == null) {
                 all = false;
-                if (jobs.get(uid) == null) {
-                    readRecord(uid);
+                if (jobs.get(jobId) == null) {
+                    readRecord(jobId);
                 }
             }
         }
         return all;
     }
 
-    private void readRecord(String uid) {
-        if (!reading.add(uid)) {
+    private void readRecord(String jobId) {
+        if (!reading.add(jobId)) {
             return;
         }
         long mine = term;
-        state.force(0);
-        state.get(SchedulingCycles.FINALS + uid, read -> {
+        store.acquireWithDebt(0);
+        store.get(JobKeys.terminal(jobId), read -> {
             if (term != mine) {
                 return;
             }
-            if (read.reached() && read.item().exists()) {
-                reading.remove(uid);
-                records.put(uid, FinalRecord.decode(read.item().value()));
-                onNews.run();
+            if (read.answered() && read.value().exists()) {
+                reading.remove(jobId);
+                records.put(jobId, TerminalRecord.decode(read.value().value()));
+                onChange.run();
                 return;
             }
             // No answer, or the job's own value has not come with the watch yet.
-            loop.after(Constants.RETRY_MS, () -> {
+            loop.after(Constants.Time.RETRY_MS, () -> {
                 if (term == mine) {
-                    reading.remove(uid);
-                    onNews.run();
+                    reading.remove(jobId);
+                    onChange.run();
                 }
             });
         });
@@ -198,19 +200,19 @@
     private void inheritPriorities(List<JobTable.Entry> waiting) {
         List<Pipeline> byPriority = new ArrayList<>();
         for (JobTable.Entry entry : waiting) {
-            if (!entry.cancelled() && verdictOf(entry.confirmed()) != Verdict.CANCELLED) {
-                byPriority.add(entry.confirmed());
+            if (!entry.cancelled() && verdictOf(entry.committed()) != Verdict.CANCELLED) {
+                byPriority.add(entry.committed());
             }
         }
         byPriority.sort(
                 Comparator.comparing((Pipeline p) -> p.spec().priority()).reversed());
         for (Pipeline from : byPriority) {
-            Deque<String> needed = new ArrayDeque<>(from.spec().prerequisites());
+            Deque<String> needed = new ArrayDeque<>(from.spec().dependencies());
             while (!needed.isEmpty()) {
-                String uid = needed.remove();
-                JobTable.Entry live = jobs.get(uid);
-                if (live != null && inherited.putIfAbsent(uid, from.spec().priority()) == null) {
-                    needed.addAll(live.confirmed().spec().prerequisites());
+                String jobId = needed.remove();
+                JobTable.Entry live = jobs.get(jobId);
+                if (live != null && inherited.putIfAbsent(jobId, from.spec().priority()) == null) {
+                    needed.addAll(live.committed().spec().dependencies());
                 }
             }
         }
