--- a/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
@@ -15,7 +15,6 @@
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
 import org.spoolline.pipeline.Attempt;
-import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
@@ -23,27 +22,6 @@
 public final class PlacementPlanner {
     private static final String UNKNOWN_ZONE = "?";
 
-    /** One task to be started. */
-    public record Placement(int task, Machine machine) {}
-
-    /**
-     * Machines to be cleared for a job, and the attempts that have to leave them, with the grace in seconds. For a
-     * {@code forImageLocality} one the machines were chosen since they have the job's image.
-     */
-    public record Preemption(
-            String jobId, Set<String> machines, Map<AttemptId, Double> evicted, boolean forImageLocality) {}
-
-    /**
-     * What to start, what found no room, most urgent first, what to clear for it, machines that room gathers on, and
-     * machines to be emptied since their work fits others.
-     */
-    public record Plan(
-            Map<String, List<Placement>> placements,
-            List<ResourceDemand> demands,
-            List<Preemption> preemptions,
-            Set<String> accumulating,
-            Set<String> evacuated) {}
-
     private final ClusterSnapshot snapshot;
     private final List<SchedulableMachine> nodes = new ArrayList<>();
     private final Map<String, double[]> teamUse = new HashMap<>();
@@ -60,11 +38,11 @@
         this.snapshot = snapshot;
     }
 
-    public static Plan plan(ClusterSnapshot snapshot) {
+    public static SchedulingPlan plan(ClusterSnapshot snapshot) {
         return new PlacementPlanner(snapshot).plan();
     }
 
-    private Plan plan() {
+    private SchedulingPlan plan() {
         Map<String, SchedulableMachine> byName = new HashMap<>();
         for (Machine machine : snapshot.schedulable()) {
             MachineType type = snapshot.types().get(machine.type());
@@ -99,7 +77,7 @@
             place(job);
         }
         boolean surplus = demands.isEmpty() && placements.isEmpty() && snapshot.mayConsolidate();
-        return new Plan(
+        return new SchedulingPlan(
                 placements,
                 demands,
                 preemption.preempt(demands),
--- a/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
@@ -61,7 +61,7 @@
     /** Cores that a team uses beyond its guarantee, by team. */
     private final Map<String, Double> borrowed = new HashMap<>();
 
-    private final List<PlacementPlanner.Preemption> preemptions = new ArrayList<>();
+    private final List<Preemption> preemptions = new ArrayList<>();
 
     PreemptionPlanner(
             ClusterSnapshot snapshot,
@@ -91,7 +91,7 @@
     }
 
     /** What is to be cleared: for urgent gangs with their image at hand, as found before, and for the wants. */
-    List<PlacementPlanner.Preemption> preempt(List<ResourceDemand> wants) {
+    List<Preemption> preempt(List<ResourceDemand> wants) {
         snapshot.settings()
                 .teams()
                 .forEach((name, team) ->
@@ -125,7 +125,7 @@
                 leaving.put(AttemptId.of(v.job().jobId(), v.attempt()), v.graceS());
             }
         }
-        preemptions.add(new PlacementPlanner.Preemption(job.jobId(), machines, leaving, warm));
+        preemptions.add(new Preemption(job.jobId(), machines, leaving, warm));
     }
 
     boolean urgentGang(Pipeline job) {
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -19,13 +19,12 @@
     private final JobTable jobs;
     private final Map<String, Reservation> byJob = new LinkedHashMap<>();
 
-    private record Reservation(PlacementPlanner.Preemption preemption, long until) {
+    private record Reservation(Preemption preemption, long until) {
         Reservation with(String machine, long atLeastUntil) {
             Set<String> more = new LinkedHashSet<>(preemption.machines());
             more.add(machine);
             return new Reservation(
-                    new PlacementPlanner.Preemption(
-                            preemption.jobId(), more, preemption.evicted(), preemption.forImageLocality()),
+                    new Preemption(preemption.jobId(), more, preemption.evicted(), preemption.forImageLocality()),
                     Math.max(until, atLeastUntil));
         }
     }
@@ -40,15 +39,15 @@
     }
 
     /** Reserves the machines of a clearing for its job. */
-    void reserve(PlacementPlanner.Preemption preemption) {
+    void reserve(Preemption preemption) {
         byJob.put(preemption.jobId(), new Reservation(preemption, loop.now() + Constants.Placement.RESERVATION_MS));
     }
 
     /** Reserves one machine more for a job, for at least so long. */
     void keep(String jobId, String machine, long forMs) {
         long until = loop.now() + forMs;
-        Reservation kept = byJob.getOrDefault(
-                jobId, new Reservation(new PlacementPlanner.Preemption(jobId, Set.of(), Map.of(), false), until));
+        Reservation kept =
+                byJob.getOrDefault(jobId, new Reservation(new Preemption(jobId, Set.of(), Map.of(), false), until));
         byJob.put(jobId, kept.with(machine, until));
     }
 
@@ -93,7 +92,7 @@
     }
 
     /** A gang has started once it is placed in full; an array, once nobody has to leave for it any more. */
-    private boolean started(Pipeline job, PlacementPlanner.Preemption preemption) {
+    private boolean started(Pipeline job, Preemption preemption) {
         return job.spec().gang()
                 ? job.attempts().size() == job.spec().tasks()
                 : preemption.evicted().keySet().stream().noneMatch(attemptId -> preemption.machines().stream()
--- a/src/main/java/org/spoolline/scheduler/Scheduler.java
+++ b/src/main/java/org/spoolline/scheduler/Scheduler.java
@@ -261,8 +261,8 @@
                 changes.put(jobId, new PipelineWriter.PendingWrite(entry, next));
             }
         }
-        PlacementPlanner.Plan plan = planned(working);
-        for (PlacementPlanner.Preemption preemption : plan.preemptions()) {
+        SchedulingPlan plan = planned(working);
+        for (Preemption preemption : plan.preemptions()) {
             reservations.reserve(preemption);
             if (preemption.forImageLocality()) {
                 gangsPreemptedForImage.add(preemption.jobId());
@@ -344,16 +344,16 @@
     }
 
     /** What has ended is written and told even when no plan can be made. */
-    private PlacementPlanner.Plan planned(Map<String, Pipeline> working) {
+    private SchedulingPlan planned(Map<String, Pipeline> working) {
         try {
-            PlacementPlanner.Plan plan = PlacementPlanner.plan(snapshot(working));
+            SchedulingPlan plan = PlacementPlanner.plan(snapshot(working));
             lastPlanFailed = false;
             return plan;
         } catch (RuntimeException e) {
             lastPlanFailed = true;
             counters.count(Event.PLAN_FAILED);
             LOG.error("no plan can be made", e);
-            return new PlacementPlanner.Plan(Map.of(), List.of(), List.of(), Set.of(), Set.of());
+            return SchedulingPlan.empty();
         }
     }
 
@@ -412,8 +412,7 @@
                         && status.jobId().equals(jobId));
     }
 
-    private void place(
-            String jobId, List<PlacementPlanner.Placement> placed, Map<String, PipelineWriter.PendingWrite> changes) {
+    private void place(String jobId, List<Placement> placed, Map<String, PipelineWriter.PendingWrite> changes) {
         JobTable.Entry entry = jobs.get(jobId);
         PipelineWriter.PendingWrite change = changes.get(jobId);
         Pipeline next = change == null ? entry.committed().copy() : change.next();
@@ -423,7 +422,7 @@
                 : next.nextAttemptNumber();
         Set<AttemptId> atHand = new HashSet<>();
         List<Attempt> added = new ArrayList<>();
-        for (PlacementPlanner.Placement p : placed) {
+        for (Placement p : placed) {
             Attempt attempt = new Attempt(
                     p.task(), number, p.machine().name(), p.machine().incarnation());
             next.addAttempt(attempt);
--- a/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
@@ -22,9 +22,9 @@
         fixture.running(name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
     }
 
-    private PlacementPlanner.Preemption clearingFor(Pipeline job) {
+    private Preemption clearingFor(Pipeline job) {
         fixture.jobs.add(job);
-        PlacementPlanner.Plan plan = fixture.plan(Set.of(job.jobId()), false);
+        SchedulingPlan plan = fixture.plan(Set.of(job.jobId()), false);
         assertEquals(1, plan.preemptions().size());
         return plan.preemptions().get(0);
     }
@@ -32,14 +32,14 @@
     @Test
     void aTaskThatHasJustSavedLeavesAtOnce() throws Exception {
         filled("m", 33);
-        PlacementPlanner.Preemption preemption = clearingFor(job("run-000009", "blue", "group", "urgent", 0));
+        Preemption preemption = clearingFor(job("run-000009", "blue", "group", "urgent", 0));
         assertEquals(List.of(0.0), List.copyOf(preemption.evicted().values()));
     }
 
     @Test
     void aTaskWithMuchToLoseSavesFirst() throws Exception {
         filled("m", 43);
-        PlacementPlanner.Preemption preemption = clearingFor(job("run-000009", "blue", "group", "urgent", 0));
+        Preemption preemption = clearingFor(job("run-000009", "blue", "group", "urgent", 0));
         assertEquals(List.of(5.0), List.copyOf(preemption.evicted().values()));
     }
 
--- a/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
+++ b/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
@@ -94,7 +94,7 @@
     final Map<String, Submission.Priority> inherited = new HashMap<>();
 
     /** The plan a minute after the start of the day. */
-    PlacementPlanner.Plan plan(Set<String> placeable, boolean mayEvacuate) {
+    SchedulingPlan plan(Set<String> placeable, boolean mayEvacuate) {
         return PlacementPlanner.plan(new ClusterSnapshot(
                 jobs,
                 Map.of(),
