--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/CapacityAccumulation.java
@@ -0,0 +1,63 @@
+package org.spoolline.scheduler;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.spoolline.pipeline.Pipeline;
+import org.spoolline.pipeline.Submission;
+
+/**
+ * Chooses the machines on which capacity accumulates for a starving gang. Without such machines a stream of small jobs
+ * could take each bit of capacity as it becomes free, and the gang would never start.
+ */
+final class CapacityAccumulation {
+    /** The group of all machines, for a gang that may span zones. */
+    private static final String ALL_ZONES = "";
+
+    private CapacityAccumulation() {}
+
+    /** The machines with the most free cores that, once empty, could run the whole gang. */
+    static List<SchedulableMachine> choose(Pipeline gang, List<SchedulableMachine> machines) {
+        List<SchedulableMachine> best = List.of();
+        double mostFree = -1;
+        for (List<SchedulableMachine> group : groups(gang, machines)) {
+            List<SchedulableMachine> emptiest = emptiest(gang.spec(), group);
+            double free =
+                    emptiest.stream().mapToDouble(SchedulableMachine::cores).sum();
+            if (free > mostFree) {
+                mostFree = free;
+                best = emptiest;
+            }
+        }
+        return best;
+    }
+
+    /** The usable machines by zone, or all in one group for a gang that may span zones. */
+    private static Collection<List<SchedulableMachine>> groups(Pipeline gang, List<SchedulableMachine> machines) {
+        Submission spec = gang.spec();
+        Map<String, List<SchedulableMachine>> byZone = new LinkedHashMap<>();
+        for (SchedulableMachine machine : machines) {
+            if (machine.accepts(gang) && !machine.isReserved() && machine.type().canRun(spec)) {
+                String zone = spec.singleZone() ? machine.zone() : ALL_ZONES;
+                byZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(machine);
+            }
+        }
+        return byZone.values();
+    }
+
+    /** As many machines as the gang needs when they are empty, those with the fewest cores in use first. */
+    private static List<SchedulableMachine> emptiest(Submission gang, List<SchedulableMachine> group) {
+        group.sort(Comparator.comparingDouble((SchedulableMachine m) -> m.type().cores() - m.cores())
+                .thenComparing(SchedulableMachine::name));
+        int needed = 0;
+        int tasks = 0;
+        while (needed < group.size() && tasks < gang.tasks()) {
+            tasks += group.get(needed).type().tasksPerMachine(gang);
+            needed++;
+        }
+        return group.subList(0, needed);
+    }
+}
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
@@ -13,25 +13,31 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * Everything a plan is made from.
+ * The input of one planning pass. Planners read it and change nothing in it.
  *
- * @param jobs        live pipelines as they will stand after this cycle's evidence
- * @param holding     attempts that occupy room, by job; for a job whose write is in flight, old and new ones
- * @param placeable   ids of jobs that may be changed in this cycle
- * @param reserved   machines that are being cleared, with the job they are cleared for
- * @param preemptedForImage        ids of gangs for which machines with their image have been cleared, once each
- * @param inheritedPriorities   the highest priority among the waiting jobs that need a job, for those that are needed
- * @param schedulable      machines that take work now
- * @param mayConsolidate   true when machines emptied in favour of others have had the time to be
+ * @param jobs                   live pipelines as they stand after this cycle's reconciliation
+ * @param pendingWriteAttempts   by job id, for jobs whose write is in flight: the attempts of the committed and of the
+ *                               proposed pipeline, since either set may occupy capacity
+ * @param placeable              ids of the jobs that may be changed in this cycle
+ * @param machinesByName         every machine known, by name
+ * @param schedulable            machines that accept launches now
+ * @param reservedFor            by machine name: the id of the job that the machine is being cleared for
+ * @param gangsPreemptedForImage ids of the gangs that machines with their image were already cleared for; this happens
+ *                               once for each gang
+ * @param inheritedPriorities    by job id, for jobs that others depend on: the highest priority among the dependents
+ * @param types                  machine types by name
+ * @param mayConsolidate         true when the tasks of the last consolidation have had time to move
+ * @param timeOfDay              wall-clock time in ms, as in the jobs' times
+ * @param now                    the event loop's steady clock in ms, as in the machines' times
  */
-public record ClusterSnapshot(
+record ClusterSnapshot(
         List<Pipeline> jobs,
-        Map<String, List<Attempt>> holding,
+        Map<String, List<Attempt>> pendingWriteAttempts,
         Set<String> placeable,
-        Map<String, Machine> machines,
+        Map<String, Machine> machinesByName,
         List<Machine> schedulable,
-        Map<String, String> reserved,
-        Set<String> preemptedForImage,
+        Map<String, String> reservedFor,
+        Set<String> gangsPreemptedForImage,
         Map<String, Submission.Priority> inheritedPriorities,
         Map<String, MachineType> types,
         Settings settings,
@@ -39,24 +45,37 @@
         long timeOfDay,
         long now) {
 
-    /** Attempts of the job that occupy room. */
-    Collection<Attempt> held(Pipeline job) {
-        List<Attempt> union = holding.get(job.jobId());
-        return union == null ? job.attempts() : union;
+    /** Attempts of the job that occupy capacity, or may do so. */
+    Collection<Attempt> occupyingAttempts(Pipeline job) {
+        List<Attempt> pending = pendingWriteAttempts.get(job.jobId());
+        return pending == null ? job.attempts() : pending;
     }
 
-    /** A job that others wait for counts as urgent as the most urgent of them. */
+    /** True for a gang of which some members are placed already, so that only the others need machines. */
+    boolean isPartlyPlacedGang(Pipeline job) {
+        return job.spec().gang() && !occupyingAttempts(job).isEmpty();
+    }
+
+    /** True when machines are being cleared for the job. */
+    boolean hasReservation(Pipeline job) {
+        return reservedFor.containsValue(job.jobId());
+    }
+
+    /** The job's own priority or the highest one among the jobs that depend on it, whichever is higher. */
     Submission.Priority priority(Pipeline job) {
         Submission.Priority own = job.spec().priority();
         Submission.Priority ofDependents = inheritedPriorities.getOrDefault(job.jobId(), own);
         return ofDependents.compareTo(own) > 0 ? ofDependents : own;
     }
 
-    /** Cores that the jobs released lately have asked for: room for as much is kept free. */
+    /**
+     * Cores requested by the jobs released during the last {@link Constants.Placement#RECENT_DEMAND_MS}. That much
+     * capacity is kept free, so that the next jobs needn't wait for machines to boot.
+     */
     static double recentlyRequestedCores(Collection<Pipeline> jobs, long timeOfDay) {
         return jobs.stream()
-                .filter(p -> p.eligibleAt() > timeOfDay - Constants.Placement.RECENT_DEMAND_MS)
-                .mapToDouble(p -> p.spec().cores() * p.spec().tasks())
+                .filter(job -> job.eligibleAt() > timeOfDay - Constants.Placement.RECENT_DEMAND_MS)
+                .mapToDouble(job -> job.spec().cores() * job.spec().tasks())
                 .sum();
     }
 }
--- a/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.spoolline.cluster.Machine;
 import org.spoolline.config.Constants;
@@ -15,120 +16,154 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * Decides which machines to empty while nothing waits: after a burst its long tasks are scattered, a few on each machine,
- * and all the machines are paid for. Tasks that save move to others that have their image and stay in use anyway. Room for
- * as much as jobs have asked for lately is left. Pure.
+ * Decides which machines to evacuate while no job waits for capacity. After a burst the remaining long tasks are spread
+ * thinly, and each of their machines is paid for. Tasks with checkpoints move to machines that have their image and
+ * stay in use anyway. As much capacity as jobs requested recently is left free. A plan depends on its snapshot alone.
  */
 final class ConsolidationPlanner {
-    /** One task with its job, on the machine that may be emptied. */
-    private record Moving(Pipeline job, Attempt attempt) {}
+    /** An attempt with its job, on a machine that may be evacuated. */
+    private record RunningTask(Pipeline job, Attempt attempt) {
+        Submission spec() {
+            return job.spec();
+        }
+    }
 
     private final ClusterSnapshot snapshot;
-    private final List<SchedulableMachine> nodes;
-    private final Map<String, List<Moving>> on = new HashMap<>();
+    private final List<SchedulableMachine> machines;
+    private final Map<String, List<RunningTask>> tasksByMachine = new HashMap<>();
+    private final Set<String> evacuated = new LinkedHashSet<>();
+    private final Set<String> receiving = new LinkedHashSet<>();
 
-    private ConsolidationPlanner(ClusterSnapshot snapshot, List<SchedulableMachine> nodes) {
+    private ConsolidationPlanner(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
         this.snapshot = snapshot;
-        this.nodes = nodes;
+        this.machines = machines;
     }
 
-    /** Names of the machines to empty; {@code nodes} have the room that is left beside all work. */
-    static Set<String> evacuated(ClusterSnapshot snapshot, List<SchedulableMachine> nodes) {
-        return new ConsolidationPlanner(snapshot, nodes).evacuated();
+    /**
+     * Names of the machines to evacuate.
+     *
+     * @param machines schedulable machines with the capacity that all attempts leave free
+     */
+    static Set<String> evacuated(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
+        return new ConsolidationPlanner(snapshot, machines).evacuate();
     }
 
-    private Set<String> evacuated() {
-        double spare = nodes.stream().mapToDouble(SchedulableMachine::cores).sum()
-                - ClusterSnapshot.recentlyRequestedCores(snapshot.jobs(), snapshot.timeOfDay());
-        if (spare <= 0) {
+    private Set<String> evacuate() {
+        double spareCores = spareCores();
+        if (spareCores <= 0) {
             return Set.of();
         }
-        for (Pipeline job : snapshot.jobs()) {
-            for (Attempt attempt : snapshot.held(job)) {
-                on.computeIfAbsent(attempt.machine(), m -> new ArrayList<>()).add(new Moving(job, attempt));
+        collectTasks();
+        List<SchedulableMachine> targets = targets();
+        for (SchedulableMachine source : sources()) {
+            boolean isTarget = receiving.contains(source.name());
+            if (source.type().cores() <= spareCores && !isTarget && moveTasks(source, targets)) {
+                spareCores -= source.type().cores();
             }
         }
-        List<SchedulableMachine> emptiest = new ArrayList<>();
-        for (SchedulableMachine node : nodes) {
-            if (node.reservedFor() == null && worthEmptying(node)) {
-                emptiest.add(node);
+        return evacuated;
+    }
+
+    /** Free cores beyond those that are kept for the next jobs. */
+    private double spareCores() {
+        double free = machines.stream().mapToDouble(SchedulableMachine::cores).sum();
+        return free - ClusterSnapshot.recentlyRequestedCores(snapshot.jobs(), snapshot.timeOfDay());
+    }
+
+    private void collectTasks() {
+        for (Pipeline job : snapshot.jobs()) {
+            for (Attempt attempt : snapshot.occupyingAttempts(job)) {
+                tasksByMachine
+                        .computeIfAbsent(attempt.machine(), name -> new ArrayList<>())
+                        .add(new RunningTask(job, attempt));
             }
         }
-        emptiest.sort(
-                Comparator.comparingDouble(SchedulableMachine::utilization).thenComparing(n -> n.machine.name()));
-        List<SchedulableMachine> fullest = new ArrayList<>(nodes);
-        fullest.removeIf(n -> n.reservedFor() != null
-                || n.cores() < Constants.Placement.EPSILON
-                || !on.containsKey(n.machine.name()));
-        fullest.sort(Comparator.comparingDouble(SchedulableMachine::utilization)
-                .reversed()
-                .thenComparing(n -> n.machine.name()));
-        Set<String> evacuated = new LinkedHashSet<>();
-        Set<String> receiving = new LinkedHashSet<>();
-        for (SchedulableMachine node :
-                emptiest.subList(0, Math.min(emptiest.size(), Constants.Placement.CONSOLIDATION_CANDIDATES_MAX))) {
-            if (node.type.cores() > spare || receiving.contains(node.machine.name())) {
-                continue;
+    }
+
+    /** The machines worth evacuating, those with the least in use first, as many as one cycle may try. */
+    private List<SchedulableMachine> sources() {
+        List<SchedulableMachine> sources = new ArrayList<>();
+        for (SchedulableMachine machine : machines) {
+            if (!machine.isReserved() && isWorthEvacuating(machine)) {
+                sources.add(machine);
             }
-            Map<SchedulableMachine, List<Submission>> taken = new HashMap<>();
-            if (fits(node, fullest, evacuated, taken)) {
-                evacuated.add(node.machine.name());
-                taken.keySet().forEach(n -> receiving.add(n.machine.name()));
-                spare -= node.type.cores();
-            } else {
-                taken.forEach((n, some) -> some.forEach(n::release));
+        }
+        sources.sort(
+                Comparator.comparingDouble(SchedulableMachine::utilization).thenComparing(SchedulableMachine::name));
+        return sources.subList(0, Math.min(sources.size(), Constants.Placement.CONSOLIDATION_CANDIDATES_MAX));
+    }
+
+    /** The machines in use that have free cores, those with the most in use first. */
+    private List<SchedulableMachine> targets() {
+        List<SchedulableMachine> targets = new ArrayList<>();
+        for (SchedulableMachine machine : machines) {
+            if (!machine.isReserved()
+                    && machine.cores() >= Constants.Placement.EPSILON
+                    && tasksByMachine.containsKey(machine.name())) {
+                targets.add(machine);
             }
         }
-        return evacuated;
+        targets.sort(Comparator.comparingDouble(SchedulableMachine::utilization)
+                .reversed()
+                .thenComparing(SchedulableMachine::name));
+        return targets;
     }
 
-    /** At most half in use, by tasks of arrays that save, have run for a while, and are expected to go on for a while. */
-    private boolean worthEmptying(SchedulableMachine node) {
-        List<Moving> here = on.getOrDefault(node.machine.name(), List.of());
-        return !here.isEmpty()
-                && node.utilization() <= Constants.Placement.CONSOLIDATION_UTILIZATION_MAX
-                && here.stream().allMatch(this::movable);
+    /** True when at most half the machine is in use, all of it by tasks that can move. */
+    private boolean isWorthEvacuating(SchedulableMachine machine) {
+        List<RunningTask> tasks = tasksByMachine.getOrDefault(machine.name(), List.of());
+        return !tasks.isEmpty()
+                && machine.utilization() <= Constants.Placement.CONSOLIDATION_UTILIZATION_MAX
+                && tasks.stream().allMatch(this::canMove);
     }
 
-    private boolean movable(Moving moving) {
-        Submission spec = moving.job().spec();
-        Machine machine = snapshot.machines().get(moving.attempt().machine());
-        double ranS =
-                machine.observedRunMs(AttemptId.of(moving.job().jobId(), moving.attempt()), snapshot.now()) / 1000.0;
+    /** True for a task with checkpoints, of an array, that has run for a while and is expected to go on for a while. */
+    private boolean canMove(RunningTask task) {
+        Submission spec = task.spec();
+        Machine machine = snapshot.machinesByName().get(task.attempt().machine());
+        AttemptId attemptId = AttemptId.of(task.job().jobId(), task.attempt());
+        double ranS = machine.observedRunMs(attemptId, snapshot.now()) / 1000.0;
         return !spec.gang()
                 && spec.checkpoints()
-                && !moving.job().cancelled()
+                && !task.job().cancelled()
                 && ranS >= Constants.Placement.CONSOLIDATION_MIN_RUN_S
                 && spec.estimateS() - ranS >= Constants.Placement.CONSOLIDATION_MIN_REMAINING_S;
     }
 
-    /** Takes room for all the node's tasks on others that have work, fullest first; false when some find none. */
-    private boolean fits(
-            SchedulableMachine node,
-            List<SchedulableMachine> fullest,
-            Set<String> evacuated,
-            Map<SchedulableMachine, List<Submission>> taken) {
-        for (Moving moving : on.get(node.machine.name())) {
-            Submission spec = moving.job().spec();
-            SchedulableMachine found = null;
-            for (SchedulableMachine other : fullest) {
-                if (other != node
-                        && !evacuated.contains(other.machine.name())
-                        && other.accepts(moving.job())
-                        && other.fits(spec)
-                        && other.machine.hasImage(spec.image())
-                        && !spec.spreadAcrossZones()
-                        && (!spec.singleZone() || other.zone.equals(node.zone))) {
-                    found = other;
-                    break;
-                }
-            }
-            if (found == null) {
+    /** Allocates capacity on the targets for all tasks of the source; false, without effect, when some don't fit. */
+    private boolean moveTasks(SchedulableMachine source, List<SchedulableMachine> targets) {
+        Map<SchedulableMachine, List<Submission>> moved = new HashMap<>();
+        for (RunningTask task : tasksByMachine.get(source.name())) {
+            Optional<SchedulableMachine> target = targetFor(task, source, targets);
+            if (target.isEmpty()) {
+                moved.forEach((machine, jobs) -> jobs.forEach(machine::release));
                 return false;
             }
-            found.allocate(spec);
-            taken.computeIfAbsent(found, n -> new ArrayList<>()).add(spec);
+            target.get().allocate(task.spec());
+            moved.computeIfAbsent(target.get(), machine -> new ArrayList<>()).add(task.spec());
         }
+        evacuated.add(source.name());
+        moved.keySet().forEach(machine -> receiving.add(machine.name()));
         return true;
     }
+
+    private Optional<SchedulableMachine> targetFor(
+            RunningTask task, SchedulableMachine source, List<SchedulableMachine> targets) {
+        Submission spec = task.spec();
+        if (spec.spreadAcrossZones()) {
+            return Optional.empty();
+        }
+        for (SchedulableMachine target : targets) {
+            boolean zoneAllowed = !spec.singleZone() || target.zone().equals(source.zone());
+            if (target != source
+                    && zoneAllowed
+                    && !evacuated.contains(target.name())
+                    && target.accepts(task.job())
+                    && target.fits(spec)
+                    && target.hasImage(spec)) {
+                return Optional.of(target);
+            }
+        }
+        return Optional.empty();
+    }
 }
--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/GangPreemption.java
@@ -0,0 +1,93 @@
+package org.spoolline.scheduler;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Predicate;
+import org.spoolline.cluster.Capacity;
+import org.spoolline.pipeline.Pipeline;
+import org.spoolline.pipeline.Submission;
+
+/** Chooses the machines to be cleared for an urgent gang: one for each of its tasks. */
+final class GangPreemption {
+    private final ClusterSnapshot snapshot;
+    private final List<SchedulableMachine> machines;
+    private final Victims victims;
+
+    GangPreemption(ClusterSnapshot snapshot, List<SchedulableMachine> machines, Victims victims) {
+        this.snapshot = snapshot;
+        this.machines = machines;
+        this.victims = victims;
+    }
+
+    /**
+     * The cheapest machines among those allowed, one for each task of the gang and in one zone where the job requires
+     * that; empty when there are too few.
+     */
+    List<Victim.Group> choose(Pipeline gang, Predicate<SchedulableMachine> allowed) {
+        if (!gang.spec().singleZone()) {
+            return cheapest(gang, allowed);
+        }
+        Set<String> zones = new LinkedHashSet<>();
+        machines.forEach(machine -> zones.add(machine.zone()));
+        List<Victim.Group> best = List.of();
+        for (String zone : zones) {
+            List<Victim.Group> inZone = cheapest(gang, machine -> machine.zone().equals(zone) && allowed.test(machine));
+            if (!inZone.isEmpty() && (best.isEmpty() || totalCost(inZone) < totalCost(best))) {
+                best = inZone;
+            }
+        }
+        return best;
+    }
+
+    /** Core seconds that clearing all these machines costs. */
+    static double totalCost(List<Victim.Group> groups) {
+        return groups.stream().mapToDouble(Victim.Group::cost).sum();
+    }
+
+    private List<Victim.Group> cheapest(Pipeline gang, Predicate<SchedulableMachine> allowed) {
+        List<Victim.Group> groups = new ArrayList<>();
+        for (SchedulableMachine machine : machines) {
+            if (machine.accepts(gang) && !machine.isReserved() && allowed.test(machine)) {
+                victimsFor(gang, machine).ifPresent(groups::add);
+            }
+        }
+        int tasks = gang.spec().tasks();
+        if (groups.size() < tasks) {
+            return List.of();
+        }
+        groups.sort(Comparator.comparingDouble(Victim.Group::cost));
+        List<Victim.Group> cheapest = groups.subList(0, tasks);
+        // A machine type without a fetch rate makes the cost infinite.
+        return totalCost(cheapest) < Double.MAX_VALUE ? cheapest : List.of();
+    }
+
+    /** The victims that make way for one task of the gang, least loss first; empty when they don't suffice. */
+    private Optional<Victim.Group> victimsFor(Pipeline gang, SchedulableMachine machine) {
+        Submission spec = gang.spec();
+        Capacity free = machine.copy();
+        List<Victim> evicted = new ArrayList<>();
+        double cost = spec.cores() * machine.imageFetchS(spec);
+        for (Victim victim : victimsOfLowerPriority(gang, machine)) {
+            if (free.fits(spec)) {
+                break;
+            }
+            evicted.add(victim);
+            free.release(victim.spec());
+            cost += victim.loss();
+        }
+        return free.fits(spec) ? Optional.of(new Victim.Group(machine, evicted, cost)) : Optional.empty();
+    }
+
+    private List<Victim> victimsOfLowerPriority(Pipeline gang, SchedulableMachine machine) {
+        List<Victim> lower = new ArrayList<>(victims.on(machine.name()));
+        lower.removeIf(victim -> snapshot.priority(victim.job()).compareTo(snapshot.priority(gang)) >= 0);
+        if (lower.size() > 1) {
+            lower.sort(Comparator.comparingDouble(Victim::loss));
+        }
+        return lower;
+    }
+}
--- a/src/main/java/org/spoolline/scheduler/SchedulableMachine.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulableMachine.java
@@ -6,41 +6,60 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** A machine that takes work, with its free room while a plan is made. */
+/** A machine that accepts launches, with its free capacity and its reservation during one planning pass. */
 final class SchedulableMachine extends Capacity {
-    final Machine machine;
+    private final Machine machine;
+    /** The job that the machine is reserved for, or null. */
     private String reservedFor;
 
+    /**
+     * An empty machine.
+     *
+     * @param reservedFor id of the job that the machine is being cleared for, or null
+     */
     SchedulableMachine(Machine machine, MachineType type, String reservedFor) {
         super(type, machine.zone(), machine.spot());
         this.machine = machine;
         this.reservedFor = reservedFor;
     }
 
-    /** The job for which this machine is being cleared, or null. */
-    String reservedFor() {
-        return reservedFor;
+    /** The machine as the registry knows it. */
+    Machine machine() {
+        return machine;
     }
 
-    /** From now on it takes no other job. */
+    /** The machine's name, which is unique in the cluster. */
+    String name() {
+        return machine.name();
+    }
+
+    /** True when the machine accepts tasks of a single job only. */
+    boolean isReserved() {
+        return reservedFor != null;
+    }
+
+    /** Keeps the machine from all jobs but this one for the rest of the pass. */
     void reserve(String jobId) {
         reservedFor = jobId;
     }
 
-    /** Share of its cores that is in use. */
+    /** The share of the machine's cores that is in use, from 0 to 1. */
     double utilization() {
-        return 1 - cores() / type.cores();
+        return 1 - cores() / type().cores();
     }
 
-    /** True when the job may use this machine, room apart. */
+    /** True when the job may use this machine, whatever capacity is free on it. */
     boolean accepts(Pipeline job) {
-        return permits(job.spec())
-                && !job.avoids(machine.name())
-                && (reservedFor == null || reservedFor.equals(job.jobId()));
+        return permits(job.spec()) && !job.avoids(name()) && (reservedFor == null || reservedFor.equals(job.jobId()));
+    }
+
+    /** True when the machine has the job's image. */
+    boolean hasImage(Submission job) {
+        return machine.hasImage(job.image());
     }
 
-    /** Seconds until the job's image is here. */
+    /** Seconds that the machine needs to fetch the job's image; 0 when it has the image. */
     double imageFetchS(Submission job) {
-        return machine.hasImage(job.image()) ? 0 : job.imageGb() / type.fetchGbPerS();
+        return hasImage(job) ? 0 : job.imageGb() / type().fetchGbPerS();
     }
 }
--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/TeamUsage.java
@@ -0,0 +1,40 @@
+package org.spoolline.scheduler;
+
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.pipeline.Submission;
+
+/** Cores and accelerators that tasks of one team use or request. Mutable and confined to one planning pass. */
+final class TeamUsage {
+    private double cores;
+    private double accelerators;
+
+    /** Adds the resources of so many tasks of the job. */
+    void add(Submission job, int tasks) {
+        cores += tasks * job.cores();
+        accelerators += tasks * job.accelerators();
+    }
+
+    /** Cores in total. */
+    double cores() {
+        return cores;
+    }
+
+    /** True when the total is within the team's guaranteed share. */
+    boolean isWithinGuarantee(Settings.Team team) {
+        return cores <= team.guaranteedCores() + Constants.Placement.EPSILON
+                && accelerators <= team.guaranteedAccelerators() + Constants.Placement.EPSILON;
+    }
+
+    /** How many more tasks of the job the team's limits allow. */
+    int headroom(Settings.Team team, Submission job) {
+        double tasks = Math.floor((team.maxCores() - cores) / job.cores() + Constants.Placement.EPSILON);
+        if (job.accelerators() > 0) {
+            tasks = Math.min(
+                    tasks,
+                    Math.floor((team.maxAccelerators() - accelerators) / job.accelerators()
+                            + Constants.Placement.EPSILON));
+        }
+        return (int) Math.max(0, Math.min(tasks, Integer.MAX_VALUE));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/Victim.java
@@ -0,0 +1,47 @@
+package org.spoolline.scheduler;
+
+import java.util.List;
+import org.spoolline.cluster.Machine;
+import org.spoolline.config.Constants;
+import org.spoolline.pipeline.Attempt;
+import org.spoolline.pipeline.AttemptId;
+import org.spoolline.pipeline.Pipeline;
+import org.spoolline.pipeline.Submission;
+
+/**
+ * An attempt that may be preempted.
+ *
+ * @param loss   core seconds of work that a stop throws away, or that saving a checkpoint takes
+ * @param graceS grace period of the stop in seconds; 0 for an attempt that saves no checkpoint on the way
+ */
+record Victim(Pipeline job, Attempt attempt, double loss, double graceS) {
+
+    /** A victim that saves a checkpoint only where it is worth it: others wait for its capacity meanwhile. */
+    static Victim of(Pipeline job, Attempt attempt, Machine machine, long now) {
+        Submission spec = job.spec();
+        double ranS = machine.observedRunMs(AttemptId.of(job.jobId(), attempt), now) / 1000.0;
+        double unsavedS = spec.workSinceCheckpointS(ranS);
+        boolean worthSaving =
+                spec.checkpoints() && unsavedS > Constants.Placement.CHECKPOINT_WORTH * spec.checkpointSaveS();
+        return worthSaving
+                ? new Victim(job, attempt, spec.cores() * spec.checkpointSaveS(), spec.stopGraceS())
+                : new Victim(job, attempt, spec.cores() * unsavedS, 0);
+    }
+
+    /** The job that the attempt belongs to. */
+    Submission spec() {
+        return job.spec();
+    }
+
+    /** The attempt's id. */
+    AttemptId attemptId() {
+        return AttemptId.of(job.jobId(), attempt);
+    }
+
+    /**
+     * A machine along with the attempts to be preempted there.
+     *
+     * @param cost core seconds that preemption and image fetch cost; 0 where no choice depends on it
+     */
+    record Group(SchedulableMachine machine, List<Victim> victims, double cost) {}
+}
--- a/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
@@ -7,7 +7,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.simulation.Simulation;
 
-/** Which machines are emptied in favour of others once nothing waits. */
+/** Which machines are evacuated while no job waits for capacity. */
 class ConsolidationPlannerTest {
     private final SchedulerFixture fixture = new SchedulerFixture(16);
 
@@ -25,12 +25,12 @@
                 .recordImageUse("img", 1, 20);
     }
 
-    private Set<String> evacuated(boolean mayEvacuate) {
-        return fixture.plan(Set.of(), mayEvacuate).evacuated();
+    private Set<String> evacuated(boolean mayConsolidate) {
+        return fixture.plan(Set.of(), mayConsolidate).evacuated();
     }
 
     @Test
-    void workThatSavesMovesToMachinesThatStayInUse() throws Exception {
+    void tasksWithCheckpointsMoveToMachinesThatStayInUse() throws Exception {
         machineWith("full", 12, 0);
         machineWith("sparse", 4, 15);
         machineWith("sparse-too", 4, 15);
@@ -39,20 +39,20 @@
     }
 
     @Test
-    void workThatWouldStartOverStays() throws Exception {
+    void tasksWithoutCheckpointsStay() throws Exception {
         machineWith("full", 12, 0);
         machineWith("sparse", 4, 0);
         assertEquals(Set.of(), evacuated(true));
     }
 
-    /** Or the next job would have to wait for a boot. */
+    /** Otherwise the next job would have to wait for a machine to boot. */
     @Test
-    void roomForWhatJobsHaveAskedForLatelyStays() throws Exception {
+    void capacityForRecentDemandStaysFree() throws Exception {
         machineWith("full", 12, 0);
         machineWith("sparse", 4, 15);
-        Pipeline over = job("run-000009", 4, 4, 0, Simulation.START_OF_DAY + 50_000);
-        over.cancel();
-        fixture.jobs.add(over);
+        Pipeline recent = job("run-000009", 4, 4, 0, Simulation.START_OF_DAY + 50_000);
+        recent.cancel();
+        fixture.jobs.add(recent);
         assertEquals(Set.of(), evacuated(true));
     }
 }
--- a/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
@@ -8,7 +8,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.simulation.Simulation;
 
-/** Who leaves for others, and with what grace. */
+/** Which attempts are preempted for other jobs, and with what grace period. */
 class PreemptionPlannerTest {
     private final SchedulerFixture fixture = new SchedulerFixture(8);
 
@@ -17,12 +17,12 @@
         return SchedulerFixture.job(jobId, team, shape, urgency, 1, 8, checkpointS, Simulation.START_OF_DAY);
     }
 
-    /** A machine that a task with checkpoints fills, which has run for so long. */
+    /** A machine filled by a task with checkpoints that has run for so long. */
     private void filled(String name, double ranS) throws Exception {
         fixture.running(name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
     }
 
-    private Preemption clearingFor(Pipeline job) {
+    private Preemption preemptionFor(Pipeline job) {
         fixture.jobs.add(job);
         SchedulingPlan plan = fixture.plan(Set.of(job.jobId()), false);
         assertEquals(1, plan.preemptions().size());
@@ -30,22 +30,22 @@
     }
 
     @Test
-    void aTaskThatHasJustSavedLeavesAtOnce() throws Exception {
+    void aTaskWithARecentCheckpointStopsWithoutGrace() throws Exception {
         filled("m", 33);
-        Preemption preemption = clearingFor(job("run-000009", "blue", "group", "urgent", 0));
+        Preemption preemption = preemptionFor(job("run-000009", "blue", "group", "urgent", 0));
         assertEquals(List.of(0.0), List.copyOf(preemption.evicted().values()));
     }
 
     @Test
-    void aTaskWithMuchToLoseSavesFirst() throws Exception {
+    void aTaskWithMuchUnsavedWorkGetsGraceForACheckpoint() throws Exception {
         filled("m", 43);
-        Preemption preemption = clearingFor(job("run-000009", "blue", "group", "urgent", 0));
+        Preemption preemption = preemptionFor(job("run-000009", "blue", "group", "urgent", 0));
         assertEquals(List.of(5.0), List.copyOf(preemption.evicted().values()));
     }
 
     @Test
-    void anArrayWithinItsGuaranteeTakesRoomWhereLeastIsLost() throws Exception {
-        // The first two are within their own team's guarantee.
+    void anArrayWithinItsFairSharePreemptsWhereLeastIsLost() throws Exception {
+        // The first two are within their own team's guaranteed share.
         filled("k", 30);
         filled("l", 30);
         filled("m", 40);
@@ -53,6 +53,6 @@
         filled("o", 42);
         assertEquals(
                 Set.of("n"),
-                clearingFor(job("run-000009", "blue", "batch", "standard", 0)).machines());
+                preemptionFor(job("run-000009", "blue", "batch", "standard", 0)).machines());
     }
 }
--- a/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
+++ b/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
@@ -19,9 +19,9 @@
 import org.spoolline.pipeline.SubmissionCodec;
 import org.spoolline.simulation.Simulation;
 
-/** Machines of one type and jobs, to make plans for: what the tests of single decisions share. */
+/** Machines of one type and jobs to plan for, shared by the tests of single planners. */
 final class SchedulerFixture {
-    /** The steady clock's time at which a plan is made. */
+    /** Steady-clock time in ms at which a plan is made. */
     static final long NOW = 160_000;
 
     private static final long LEASE_MS = 16_000;
@@ -35,7 +35,7 @@
         type = new MachineType("type", cores, 0, 64, 20, 1, 1, 0.4, 10, List.of("a"));
     }
 
-    /** A job whose tasks save in 4 s; without a checkpoint interval they never do. */
+    /** A job whose tasks save a checkpoint in 4 s; without a checkpoint interval they never save. */
     static Pipeline job(
             String jobId,
             String team,
@@ -67,7 +67,7 @@
         return Pipeline.accept(SubmissionCodec.parse(body), body, acceptedAt);
     }
 
-    /** A machine with the jobs' image on which the job's only task has run for so long. */
+    /** A machine on which the job's only task has run for so long. */
     Machine running(String name, Pipeline job, double ranS) {
         Machine machine = new Machine(name, type.name(), "a", false, 0);
         job.addAttempt(new Attempt(0, 1, name, 1));
@@ -90,11 +90,11 @@
         return machine;
     }
 
-    /** Priorities that jobs have from waiting ones that need them. */
+    /** By job id: the highest priority among the jobs that depend on it. */
     final Map<String, Submission.Priority> inherited = new HashMap<>();
 
     /** The plan a minute after the start of the day. */
-    SchedulingPlan plan(Set<String> placeable, boolean mayEvacuate) {
+    SchedulingPlan plan(Set<String> placeable, boolean mayConsolidate) {
         return PlacementPlanner.plan(new ClusterSnapshot(
                 jobs,
                 Map.of(),
@@ -106,7 +106,7 @@
                 inherited,
                 Map.of(type.name(), type),
                 settings,
-                mayEvacuate,
+                mayConsolidate,
                 Simulation.START_OF_DAY + 60_000,
                 NOW));
     }
