--- /dev/null
+++ b/src/main/java/org/spoolline/autoscaler/MachineListing.java
@@ -0,0 +1,147 @@
+package org.spoolline.autoscaler;
+
+import java.util.HashSet;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.cluster.Machine;
+import org.spoolline.cluster.MachineRegistry;
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.election.LeaderElection;
+import org.spoolline.net.EventLoop;
+import org.spoolline.net.Http;
+
+/** Reads the cloud's machine list page by page and reconciles the machine registry with it. */
+final class MachineListing {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineListing.class);
+
+    private final EventLoop loop;
+    private final CloudClient cloud;
+    private final Settings settings;
+    private final LeaderElection election;
+    private final MachineRegistry machines;
+    private final Consumer<Machine> onFailedMachine;
+    private final Runnable onChange;
+    private boolean complete;
+    private long requestedAt;
+
+    /**
+     * Creates a listing that reads nothing by itself.
+     *
+     * @param onFailedMachine receives each machine that the list shows as failed, once it is marked as terminated
+     * @param onChange        runs after each complete list
+     */
+    MachineListing(
+            EventLoop loop,
+            CloudClient cloud,
+            Settings settings,
+            LeaderElection election,
+            MachineRegistry machines,
+            Consumer<Machine> onFailedMachine,
+            Runnable onChange) {
+        this.loop = loop;
+        this.cloud = cloud;
+        this.settings = settings;
+        this.election = election;
+        this.machines = machines;
+        this.onFailedMachine = onFailedMachine;
+        this.onChange = onChange;
+    }
+
+    /** Starts a term in which nothing has been listed. */
+    void beginTerm() {
+        complete = false;
+        requestedAt = Long.MIN_VALUE / 2;
+    }
+
+    /** True once the whole list has been read in this term. */
+    boolean isComplete() {
+        return complete;
+    }
+
+    /** Starts to read the list when it is due and the rate limit allows it. */
+    void refreshIfDue(long now) {
+        // Within half its lag the list seldom shows anything new.
+        long intervalMs = Math.max(
+                Constants.Autoscaling.MACHINE_LIST_INTERVAL_MS, settings.cloud().listLagMs() / 2);
+        if (now - requestedAt >= intervalMs && cloud.tryAcquire(now)) {
+            requestedAt = now;
+            new Reading(now).requestPage("");
+        }
+    }
+
+    /** One reading of the whole list. */
+    private final class Reading {
+        private final long startedAt;
+        private final Set<String> listed = new HashSet<>();
+
+        Reading(long startedAt) {
+            this.startedAt = startedAt;
+        }
+
+        void requestPage(String after) {
+            cloud.get(CloudCodec.listPath(after, Constants.Store.LIST_PAGE), reply -> receivePage(after, reply));
+        }
+
+        private void receivePage(String after, Http.Reply reply) {
+            if (!reply.ok() || !election.hasValidLease()) {
+                return;
+            }
+            CloudCodec.ListPage page = CloudCodec.parseList(reply.body());
+            String last = after;
+            for (CloudCodec.ListedMachine machine : page.machines()) {
+                last = machine.name();
+                listed.add(last);
+                observe(machine);
+            }
+            if (page.hasNext()) {
+                cloud.acquireWithDebt();
+                requestPage(last);
+                return;
+            }
+            complete = true;
+            terminateUnlisted(listed, startedAt);
+            onChange.run();
+        }
+    }
+
+    private void observe(CloudCodec.ListedMachine listed) {
+        long now = loop.now();
+        boolean unknown = machines.get(listed.name()) == null;
+        Machine machine = machines.getOrRegister(
+                listed.name(), listed.type(), listed.zone(), listed.spot(), now - listed.heldMs());
+        machine.markListed(now);
+        if (unknown) {
+            LOG.info(
+                    "Machine found in cloud list: machine={} type={} zone={} status={}",
+                    listed.name(),
+                    machine.type(),
+                    machine.zone(),
+                    listed.status());
+        }
+        if (listed.hasFailed() && !machine.terminated()) {
+            LOG.info("Machine terminated: machine={} reason=failed", listed.name());
+            machine.markTerminated();
+            onFailedMachine.accept(machine);
+        }
+    }
+
+    /**
+     * Marks machines as terminated that were listed before and no longer are. A list may be as old as twice the lag, so
+     * one that was requested sooner than that after a machine's last listing proves nothing.
+     */
+    private void terminateUnlisted(Set<String> listed, long listRequestedAt) {
+        long maxAgeMs = 2 * settings.cloud().listLagMs() + Constants.Time.MARGIN_MS;
+        for (Machine machine : machines.all()) {
+            if (!machine.terminated()
+                    && machine.lastListedAt() >= 0
+                    && !listed.contains(machine.name())
+                    && listRequestedAt - machine.lastListedAt() > maxAgeMs) {
+                LOG.info("Machine terminated: machine={} reason=not-listed", machine.name());
+                machine.markTerminated();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOut.java
@@ -0,0 +1,161 @@
+package org.spoolline.autoscaler;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.cluster.Machine;
+import org.spoolline.cluster.MachineRegistry;
+import org.spoolline.cluster.MachineTypeCatalog;
+import org.spoolline.cluster.ResourceDemand;
+import org.spoolline.config.Constants;
+import org.spoolline.election.LeaderElection;
+import org.spoolline.net.EventLoop;
+import org.spoolline.net.Http;
+
+/** Acquires machines for tasks without capacity: one idempotent request for each offer at a time. */
+final class ScaleOut {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
+    private static final int BAD_REQUEST = 400;
+    private static final int SERVICE_UNAVAILABLE = 503;
+
+    private final EventLoop loop;
+    private final CloudClient cloud;
+    private final LeaderElection election;
+    private final MachineTypeCatalog catalog;
+    private final MachineRegistry machines;
+    private final Runnable onChange;
+    /** Number of machines requested, for offers whose request has no definite reply yet. */
+    private final Map<ScaleOutPlanner.Offer, Integer> requested = new HashMap<>();
+    /** Time in ms until which an offer without capacity is not requested again. */
+    private final Map<ScaleOutPlanner.Offer, Long> backoffUntil = new HashMap<>();
+
+    private long lastRequestNumber;
+
+    ScaleOut(
+            EventLoop loop,
+            CloudClient cloud,
+            LeaderElection election,
+            MachineTypeCatalog catalog,
+            MachineRegistry machines,
+            Runnable onChange) {
+        this.loop = loop;
+        this.cloud = cloud;
+        this.election = election;
+        this.catalog = catalog;
+        this.machines = machines;
+        this.onChange = onChange;
+    }
+
+    /** Starts a term in which nothing has been requested. */
+    void beginTerm() {
+        lastRequestNumber = 0;
+        requested.clear();
+        backoffUntil.clear();
+    }
+
+    /** Requests the machines that the demands need beyond those that are starting, as far as the rate limit allows. */
+    void acquire(List<ResourceDemand> demands, long now) {
+        Map<ScaleOutPlanner.Offer, Integer> plan =
+                ScaleOutPlanner.plan(demands, startingMachines(), catalog.types(), offer -> isAvailable(offer, now));
+        plan.forEach((offer, count) -> {
+            if (cloud.tryAcquire(now)) {
+                int batch = Math.min(count, Constants.Autoscaling.SCALE_OUT_BATCH_MAX);
+                requested.put(offer, batch);
+                lastRequestNumber++;
+                request(offer, batch, "r-" + cloud.term() + "-" + lastRequestNumber);
+            }
+        });
+    }
+
+    private boolean isAvailable(ScaleOutPlanner.Offer offer, long now) {
+        return !requested.containsKey(offer) && backoffUntil.getOrDefault(offer, Long.MIN_VALUE) <= now;
+    }
+
+    /** The offers of machines that are expected to start, one entry for each machine. */
+    private List<ScaleOutPlanner.Offer> startingMachines() {
+        List<ScaleOutPlanner.Offer> starting = new ArrayList<>();
+        for (Machine machine : machines.all()) {
+            if (!machine.terminated() && !machine.hasReported() && !machine.draining()) {
+                starting.add(new ScaleOutPlanner.Offer(machine.type(), machine.zone(), machine.spot()));
+            }
+        }
+        requested.forEach((offer, count) -> {
+            for (int i = 0; i < count; i++) {
+                starting.add(offer);
+            }
+        });
+        return starting;
+    }
+
+    /**
+     * Sends the request. Its reply counts even when the leader's lease has lapsed for a moment: an offer that stayed
+     * among the requested ones would never be requested again in this term.
+     */
+    private void request(ScaleOutPlanner.Offer offer, int count, String requestId) {
+        cloud.post(
+                CloudCodec.ACQUIRE_PATH,
+                CloudCodec.acquireRequest(requestId, offer, count),
+                reply -> receive(reply, offer, count, requestId));
+    }
+
+    private void receive(Http.Reply reply, ScaleOutPlanner.Offer offer, int count, String requestId) {
+        if (reply.ok()) {
+            registerAcquired(CloudCodec.parseAcquired(reply.body()), offer, count, requestId);
+        } else if (reply.status() == SERVICE_UNAVAILABLE || reply.status() == BAD_REQUEST) {
+            LOG.info(
+                    "Scale out rejected: type={} zone={} spot={} request={} status={}",
+                    offer.type(),
+                    offer.zone(),
+                    offer.spot(),
+                    requestId,
+                    reply.status());
+            requested.remove(offer);
+            backOff(offer, loop.now());
+            onChange.run();
+        } else {
+            retry(offer, count, requestId);
+        }
+    }
+
+    private void registerAcquired(List<String> names, ScaleOutPlanner.Offer offer, int count, String requestId) {
+        long now = loop.now();
+        for (String name : names) {
+            machines.getOrRegister(name, offer.type(), offer.zone(), offer.spot(), now);
+        }
+        requested.remove(offer);
+        LOG.info(
+                "Scaled out: acquired={} requested={} type={} zone={} spot={} request={}",
+                names.size(),
+                count,
+                offer.type(),
+                offer.zone(),
+                offer.spot(),
+                requestId);
+        if (names.size() < count) {
+            backOff(offer, now);
+        }
+        onChange.run();
+    }
+
+    private void backOff(ScaleOutPlanner.Offer offer, long now) {
+        backoffUntil.put(offer, now + Constants.Autoscaling.OFFER_BACKOFF_MS);
+    }
+
+    /**
+     * Repeats a request without a definite reply under the same id, the only one that is sure to acquire nothing twice.
+     * While the lease has lapsed it waits on.
+     */
+    private void retry(ScaleOutPlanner.Offer offer, int count, String requestId) {
+        cloud.afterRetryPause(() -> {
+            if (election.hasValidLease()) {
+                cloud.acquireWithDebt();
+                request(offer, count, requestId);
+            } else {
+                retry(offer, count, requestId);
+            }
+        });
+    }
+}
--- a/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
@@ -5,15 +5,29 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Predicate;
 import org.spoolline.cluster.Capacity;
 import org.spoolline.cluster.MachineType;
 import org.spoolline.cluster.ResourceDemand;
 import org.spoolline.pipeline.Submission;
 
-/** Decides what to rent for the tasks that found no room. Pure. */
+/** Decides which machines to acquire for tasks without capacity. A plan depends on its arguments alone. */
 public final class ScaleOutPlanner {
-    /** A kind of machine in a zone. */
+    /** Seconds of boot time that weigh as much as the price: an offer that takes as long counts twice its price. */
+    private static final double BOOT_S_PER_PRICE = 100;
+
+    private final Map<String, MachineType> types;
+    private final Predicate<Offer> available;
+    private final List<Capacity> capacities = new ArrayList<>();
+    private final Map<Offer, Integer> acquired = new LinkedHashMap<>();
+
+    private ScaleOutPlanner(Map<String, MachineType> types, Predicate<Offer> available) {
+        this.types = types;
+        this.available = available;
+    }
+
+    /** A machine type in a zone, as an on-demand or a spot machine. */
     public record Offer(String type, String zone, boolean spot) {
         /** Written out, see {@link org.spoolline.pipeline.Attempt#equals}. */
         @Override
@@ -27,78 +41,96 @@
         }
     }
 
-    private ScaleOutPlanner() {}
-
-    /** How many machines of each offer to rent, given the machines on their way. */
-    public static Map<Offer, Integer> plan(
-            List<ResourceDemand> wants,
-            List<Offer> coming,
+    /**
+     * How many machines of each offer to acquire.
+     *
+     * @param demands   tasks without capacity, most urgent first
+     * @param starting  offers of the machines that are expected to start, one entry for each machine
+     * @param types     machine types by name
+     * @param available true for an offer that may be requested now
+     */
+    static Map<Offer, Integer> plan(
+            List<ResourceDemand> demands,
+            List<Offer> starting,
             Map<String, MachineType> types,
             Predicate<Offer> available) {
-        List<Capacity> rooms = new ArrayList<>();
-        for (Offer o : coming) {
-            MachineType type = types.get(o.type());
-            if (type != null) {
-                rooms.add(new Capacity(type, o.zone(), o.spot()));
+        ScaleOutPlanner planner = new ScaleOutPlanner(types, available);
+        for (Offer offer : starting) {
+            if (types.containsKey(offer.type())) {
+                planner.addCapacity(offer);
             }
         }
-        Map<Offer, Integer> rent = new LinkedHashMap<>();
-        for (ResourceDemand demand : wants) {
-            Submission job = demand.job().spec();
-            int left = demand.tasks();
-            for (Capacity capacity : rooms) {
-                left -= fill(capacity, job, left);
-            }
-            while (left > 0) {
-                Offer offer = best(job, left, types, available);
-                if (offer == null) {
-                    break;
-                }
-                Capacity capacity = new Capacity(types.get(offer.type()), offer.zone(), offer.spot());
-                left -= fill(capacity, job, left);
-                rooms.add(capacity);
-                rent.merge(offer, 1, Integer::sum);
+        for (ResourceDemand demand : demands) {
+            planner.meet(demand);
+        }
+        return planner.acquired;
+    }
+
+    private Capacity addCapacity(Offer offer) {
+        Capacity capacity = new Capacity(types.get(offer.type()), offer.zone(), offer.spot());
+        capacities.add(capacity);
+        return capacity;
+    }
+
+    /** Allocates capacity for the tasks, first on machines that are starting, then on further ones to be acquired. */
+    private void meet(ResourceDemand demand) {
+        Submission job = demand.job().spec();
+        int unmet = demand.tasks();
+        for (Capacity capacity : capacities) {
+            unmet -= allocate(capacity, job, unmet);
+        }
+        while (unmet > 0) {
+            Optional<Offer> offer = cheapestOffer(job, unmet);
+            if (offer.isEmpty()) {
+                return;
             }
+            unmet -= allocate(addCapacity(offer.get()), job, unmet);
+            acquired.merge(offer.get(), 1, Integer::sum);
         }
-        return rent;
     }
 
-    /** Takes room for up to so many tasks; returns for how many there was. */
-    private static int fill(Capacity capacity, Submission job, int tasks) {
-        int taken = 0;
-        while (taken < tasks && capacity.permits(job) && capacity.fits(job)) {
+    /** Allocates capacity for up to so many tasks; returns for how many there was some. */
+    private static int allocate(Capacity capacity, Submission job, int tasks) {
+        int allocated = 0;
+        while (allocated < tasks && capacity.permits(job) && capacity.fits(job)) {
             capacity.allocate(job);
-            taken++;
+            allocated++;
         }
-        return taken;
+        return allocated;
     }
 
-    /** The cheapest offer for the tasks left; among nearly equal ones the one that boots sooner. */
-    private static Offer best(Submission job, int left, Map<String, MachineType> types, Predicate<Offer> available) {
-        /** An offer with its price for a task and its boot time. */
-        record Scored(Offer offer, double cost, double bootS) {}
-        List<Scored> scored = new ArrayList<>();
+    /** An offer with its weight: its price for each task, increased by its boot time. */
+    private record WeightedOffer(Offer offer, double weight) {}
+
+    /** The offer with the lowest weight for so many tasks; empty when none is available that the job may use. */
+    private Optional<Offer> cheapestOffer(Submission job, int tasks) {
+        List<WeightedOffer> offers = new ArrayList<>();
         for (MachineType type : types.values()) {
-            int fits = Math.min(left, type.canRun(job) ? type.tasksPerMachine(job) : 0);
-            if (fits == 0) {
+            int fitting = type.canRun(job) ? Math.min(tasks, type.tasksPerMachine(job)) : 0;
+            if (fitting > 0) {
+                addOffers(job, type, fitting, offers);
+            }
+        }
+        return offers.stream()
+                .min(Comparator.comparingDouble(WeightedOffer::weight))
+                .map(WeightedOffer::offer);
+    }
+
+    private void addOffers(Submission job, MachineType type, int fitting, List<WeightedOffer> offers) {
+        for (String zone : type.zones()) {
+            if (job.zone() != null && !job.zone().equals(zone)) {
                 continue;
             }
-            for (String zone : type.zones()) {
-                if (job.zone() != null && !job.zone().equals(zone)) {
-                    continue;
-                }
-                for (boolean spot : new boolean[] {true, false}) {
-                    Offer offer = new Offer(type.name(), zone, spot);
-                    if ((job.allowsSpot() || !spot) && available.test(offer)) {
-                        double price = spot ? type.spotPrice() : type.price();
-                        scored.add(new Scored(offer, price / fits, type.bootS()));
-                    }
-                }
+            if (job.allowsSpot()) {
+                addOffer(new Offer(type.name(), zone, true), type, type.spotPrice() / fitting, offers);
             }
+            addOffer(new Offer(type.name(), zone, false), type, type.price() / fitting, offers);
+        }
+    }
+
+    private void addOffer(Offer offer, MachineType type, double pricePerTask, List<WeightedOffer> offers) {
+        if (available.test(offer)) {
+            offers.add(new WeightedOffer(offer, pricePerTask * (1 + type.bootS() / BOOT_S_PER_PRICE)));
         }
-        return scored.stream()
-                .min(Comparator.comparingDouble(s -> s.cost() * (1 + s.bootS() / 100)))
-                .map(Scored::offer)
-                .orElse(null);
     }
 }
