--- a/src/main/java/org/spoolline/cluster/MachineType.java
+++ b/src/main/java/org/spoolline/cluster/MachineType.java
@@ -1,13 +1,19 @@
 package org.spoolline.cluster;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import org.spoolline.pipeline.Submission;
 
-/** A machine type as the cloud offers it. Prices are per hour, the boot time in seconds. */
+/**
+ * A machine type as the cloud offers it.
+ *
+ * @param memoryGb    memory in GB
+ * @param cacheGb     size of the image cache in GB
+ * @param fetchGbPerS rate at which images are fetched, in GB a second
+ * @param price       price of an on-demand machine for an hour
+ * @param spotPrice   price of a spot machine for an hour
+ * @param bootS       nominal boot time in seconds
+ * @param zones       zones that offer the type
+ */
 public record MachineType(
         String name,
         double cores,
@@ -19,32 +25,10 @@
         double spotPrice,
         double bootS,
         List<String> zones) {
+    /** Quotients closer than this to the next integer count as that integer. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** Reads the cloud's answer; empty when it is none. */
-    public static Map<String, MachineType> parse(JsonNode answer) {
-        Map<String, MachineType> types = new LinkedHashMap<>();
-        for (JsonNode b : answer.path("builds")) {
-            List<String> zones = new ArrayList<>();
-            b.path("yards").forEach(z -> zones.add(z.asText()));
-            String name = b.path("name").asText();
-            types.put(
-                    name,
-                    new MachineType(
-                            name,
-                            b.path("cores").asDouble(),
-                            b.path("accelerators").asDouble(),
-                            b.path("memGb").asDouble(),
-                            b.path("cacheGb").asDouble(),
-                            b.path("pullGbPerS").asDouble(),
-                            b.path("rate").asDouble(),
-                            b.path("spotPrice").asDouble(),
-                            b.path("startupS").asDouble(),
-                            zones));
-        }
-        return types;
-    }
-
-    /** True when one task of the job fits an empty machine of this type and the job allows the type. */
+    /** True when one task of the job fits an empty machine of this type and the job's constraints allow the type. */
     public boolean canRun(Submission job) {
         return (job.machineTypes() == null || job.machineTypes().contains(name))
                 && job.cores() <= cores
@@ -53,14 +37,14 @@
                 && (job.zone() == null || zones.contains(job.zone()));
     }
 
-    /** Tasks of the job that an empty machine holds. */
+    /** How many tasks of the job fit an empty machine of this type. */
     public int tasksPerMachine(Submission job) {
-        double count = Math.floor(cores / job.cores() + 1e-9);
+        double count = Math.floor(cores / job.cores() + ROUNDING_TOLERANCE);
         if (job.accelerators() > 0) {
-            count = Math.min(count, Math.floor(accelerators / job.accelerators() + 1e-9));
+            count = Math.min(count, Math.floor(accelerators / job.accelerators() + ROUNDING_TOLERANCE));
         }
         if (job.memoryGb() > 0) {
-            count = Math.min(count, Math.floor(memoryGb / job.memoryGb() + 1e-9));
+            count = Math.min(count, Math.floor(memoryGb / job.memoryGb() + ROUNDING_TOLERANCE));
         }
         return (int) count;
     }
--- a/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
@@ -12,9 +12,13 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** The machine types: from the cloud, or as last stored when the cloud is silent. */
+/**
+ * The machine types, read from the cloud or, while the cloud does not reply, from the key-value store. Confined to the
+ * event loop.
+ */
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
+    private static final String PATH = "/machine_types";
     private static final String KEY = "machine-types";
 
     private final EventLoop loop;
@@ -22,8 +26,9 @@
     private final Settings settings;
     private final KeyValueStoreClient store;
     private Map<String, MachineType> types = Map.of();
-    private boolean fromCloud;
+    private boolean readFromCloud;
 
+    /** Creates an empty catalog; {@link #start} fills it. */
     public MachineTypeCatalog(EventLoop loop, Http.Caller http, Settings settings, KeyValueStoreClient store) {
         this.loop = loop;
         this.http = http;
@@ -31,64 +36,73 @@
         this.store = store;
     }
 
+    /** The types by name, in the cloud's order; empty until they are known. */
     public Map<String, MachineType> types() {
         return types;
     }
 
+    /** True once the types have been read from anywhere. */
     public boolean isKnown() {
         return !types.isEmpty();
     }
 
-    /** Reads the types until they are known. Every node does so once. */
+    /** Reads the types until the cloud has replied. Every node does so once. */
     public void start() {
-        refresh(fine -> {
-            if (fine) {
+        refresh(succeeded -> {
+            if (succeeded) {
                 return;
             }
             if (!isKnown()) {
-                store.acquireWithDebt(0);
-                store.get(KEY, read -> {
-                    if (read.answered() && read.value().exists() && !isKnown()) {
-                        types = MachineType.parse(read.value().value());
-                        LOG.info("machine types taken from the state service: {}", types.keySet());
-                    }
-                });
+                readStored();
             }
             loop.after(Constants.Time.RETRY_MS * 2, this::start);
         });
     }
 
-    /** Reads the types once from the cloud. */
+    private void readStored() {
+        store.acquireWithDebt(0);
+        store.get(KEY, read -> {
+            if (read.answered() && read.value().exists() && !isKnown()) {
+                types = MachineTypeCodec.parse(read.value().value());
+                LOG.info("Read machine types from key-value store: types={}", types.keySet());
+            }
+        });
+    }
+
+    /**
+     * Reads the types from the cloud once.
+     *
+     * @param done runs on the event loop; with true when the reply named some types, which replace the former ones
+     */
     public void refresh(Consumer<Boolean> done) {
         http.call(
                 settings.cloudAddress(),
                 "GET",
-                "/machine_types",
+                PATH,
                 null,
                 Constants.Autoscaling.CLOUD_TIMEOUT_MS,
-                reply -> {
-                    if (reply.ok()) {
-                        JsonNode answer = Json.read(reply.body());
-                        Map<String, MachineType> read = MachineType.parse(answer);
-                        if (!read.isEmpty()) {
-                            types = read;
-                            if (!fromCloud) {
-                                fromCloud = true;
-                                LOG.info("machine types: {}", types.keySet());
-                                store(answer);
-                            }
-                            done.accept(true);
-                            return;
-                        }
-                    }
-                    done.accept(false);
-                });
+                reply -> done.accept(reply.ok() && replaceTypes(Json.read(reply.body()))));
+    }
+
+    /** Returns false, without effect, when the reply names no type. */
+    private boolean replaceTypes(JsonNode reply) {
+        Map<String, MachineType> read = MachineTypeCodec.parse(reply);
+        if (read.isEmpty()) {
+            return false;
+        }
+        types = read;
+        if (!readFromCloud) {
+            readFromCloud = true;
+            LOG.info("Read machine types from cloud: types={}", types.keySet());
+            store(reply);
+        }
+        return true;
     }
 
-    /** Stored once for nodes that start while the cloud is down; what it holds is fixed but for prices. */
-    private void store(JsonNode answer) {
+    /** Stores the reply once for nodes that start while the cloud is unreachable; all but prices in it is constant. */
+    private void store(JsonNode reply) {
         KeyValueStoreClient.Transaction transaction =
-                new KeyValueStoreClient.Transaction().requireVersion(KEY, 0).put(KEY, answer);
+                new KeyValueStoreClient.Transaction().requireVersion(KEY, 0).put(KEY, reply);
         if (store.tryAcquire(1)) {
             store.commit(transaction, result -> {});
         }
