--- a/src/main/java/org/spoolline/api/AncestorChecker.java
+++ b/src/main/java/org/spoolline/api/AncestorChecker.java
@@ -104,7 +104,7 @@
         }
 
         private void visit(String jobId) {
-            TerminalRecord record = reader.cachedRecord(jobId);
+            TerminalRecord record = reader.cachedTerminalRecord(jobId).orElse(null);
             Live known = live.get(jobId);
             if (cancelled.containsKey(jobId) || record != null && !record.done()) {
                 note(Verdict.CANCELLED);
@@ -144,17 +144,17 @@
         }
 
         private void found(String jobId, StoredJob job, long sent) {
-            if (job.live() != null) {
-                Pipeline value = Pipeline.decode(job.live());
+            if (job instanceof StoredJob.Live stored) {
+                Pipeline value = Pipeline.decode(stored.value());
                 observe(value, sent);
                 if (value.cancelled()) {
                     note(Verdict.CANCELLED);
                 } else {
                     visitPrerequisites(jobId, live.get(jobId));
                 }
-            } else if (job.terminal() == null) {
+            } else if (!(job instanceof StoredJob.Terminal terminal)) {
                 note(Verdict.UNSATISFIABLE);
-            } else if (!job.terminal().done()) {
+            } else if (!terminal.record().done()) {
                 note(Verdict.CANCELLED);
             }
         }
--- a/src/main/java/org/spoolline/api/JobApi.java
+++ b/src/main/java/org/spoolline/api/JobApi.java
@@ -114,7 +114,7 @@
             answer.accept(Http.Response.of(400, Json.error("malformed: " + e.getMessage())));
             return;
         }
-        TerminalRecord record = reader.cachedRecord(job.jobId());
+        TerminalRecord record = reader.cachedTerminalRecord(job.jobId()).orElse(null);
         if (record != null) {
             answer.accept(Http.Response.of(200, terminalStatus(job.jobId(), record)));
             return;
@@ -228,7 +228,7 @@
     }
 
     private void poll(String jobId, Consumer<Http.Response> answer) {
-        TerminalRecord record = reader.cachedRecord(jobId);
+        TerminalRecord record = reader.cachedTerminalRecord(jobId).orElse(null);
         if (record != null) {
             answer.accept(Http.Response.of(200, terminalStatus(jobId, record)));
             return;
@@ -295,15 +295,15 @@
 
     private void cancel(String jobId, int tries, Consumer<Http.Response> answer) {
         lookUp(jobId, answer, stored -> {
-            if (!stored.accepted()) {
-                answer.accept(Http.Response.of(404, Json.error("no such job")));
+            if (stored instanceof StoredJob.Terminal terminal) {
+                answer.accept(Http.Response.of(200, terminalStatus(jobId, terminal.record())));
                 return;
             }
-            if (stored.terminal() != null) {
-                answer.accept(Http.Response.of(200, terminalStatus(jobId, stored.terminal())));
+            if (!(stored instanceof StoredJob.Live live)) {
+                answer.accept(Http.Response.of(404, Json.error("no such job")));
                 return;
             }
-            Pipeline pipeline = Pipeline.decode(stored.live());
+            Pipeline pipeline = Pipeline.decode(live.value());
             if (pipeline.cancelled()) {
                 confirmCancelled(jobId, answer);
                 return;
@@ -313,7 +313,7 @@
                 return;
             }
             KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
-                    .requireVersion(JobKeys.live(jobId), stored.version())
+                    .requireVersion(JobKeys.live(jobId), live.version())
                     .put(JobKeys.live(jobId), cancelledValue(pipeline));
             store.commit(transaction, result -> {
                 if (result.outcome() == KeyValueStoreClient.CommitOutcome.APPLIED) {
@@ -364,22 +364,20 @@
     /** Answers with what is stored of the job, or leaves the answer to {@code unknown} where it was never accepted. */
     private void answerStatusIfAccepted(String jobId, Consumer<Http.Response> answer, Runnable unknown) {
         lookUp(jobId, answer, stored -> {
-            if (stored.accepted()) {
-                answerStatus(jobId, stored, answer);
+            if (stored instanceof StoredJob.Terminal terminal) {
+                live.remove(jobId);
+                answered(jobId, terminalStatus(jobId, terminal.record()), answer);
+            } else if (stored instanceof StoredJob.Live liveJob) {
+                answerStatus(jobId, liveJob, answer);
             } else {
                 unknown.run();
             }
         });
     }
 
-    /** Answers with the state of a job that is known. */
-    private void answerStatus(String jobId, StoredJob stored, Consumer<Http.Response> answer) {
-        if (stored.terminal() != null) {
-            live.remove(jobId);
-            answered(jobId, terminalStatus(jobId, stored.terminal()), answer);
-            return;
-        }
-        Pipeline pipeline = Pipeline.decode(stored.live());
+    /** Answers with the state of a live job. */
+    private void answerStatus(String jobId, StoredJob.Live stored, Consumer<Http.Response> answer) {
+        Pipeline pipeline = Pipeline.decode(stored.value());
         int running = pipeline.attempts().size();
         byte[] body = pipeline.cancelled()
                 ? aborted(jobId)
--- a/src/main/java/org/spoolline/job/LruJobCache.java
+++ b/src/main/java/org/spoolline/job/LruJobCache.java
@@ -4,13 +4,18 @@
 import java.util.Map;
 import org.spoolline.config.Constants;
 
-/** The most recently used entries, by job, a bounded number. */
+/**
+ * A cache by job id that holds {@link Constants.Api#JOB_CACHE_SIZE} entries at most and evicts the least recently used
+ * one. Both reads and writes of an entry count as its use, {@link #containsKey} does not. Not thread-safe.
+ */
 public final class LruJobCache<V> extends LinkedHashMap<String, V> {
     private static final long serialVersionUID = 1L;
+    private static final int INITIAL_CAPACITY = 16;
+    private static final float LOAD_FACTOR = 0.75f;
 
-    /** An empty cache. */
+    /** Creates an empty cache. */
     public LruJobCache() {
-        super(16, 0.75f, true);
+        super(INITIAL_CAPACITY, LOAD_FACTOR, true);
     }
 
     @Override
--- a/src/main/java/org/spoolline/job/StoredJob.java
+++ b/src/main/java/org/spoolline/job/StoredJob.java
@@ -2,16 +2,19 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/**
- * A job as the state service has it: its live value with that value's version, or its lasting record, or neither.
- *
- * @param live    the live value, or null
- * @param version the live value's version
- * @param terminal    the lasting record, or null
- */
-public record StoredJob(JsonNode live, long version, TerminalRecord terminal) {
-    /** True when the job was accepted. */
-    public boolean accepted() {
-        return live != null || terminal != null;
-    }
+/** What the key-value store holds of a job at the time of a read. */
+public sealed interface StoredJob {
+    /**
+     * An accepted job that is not in a terminal state.
+     *
+     * @param value   the stored pipeline
+     * @param version the version of that value, for a compare-and-swap
+     */
+    record Live(JsonNode value, long version) implements StoredJob {}
+
+    /** A job in a terminal state, by its record. */
+    record Terminal(TerminalRecord record) implements StoredJob {}
+
+    /** A job that was never accepted: neither key exists. */
+    record Absent() implements StoredJob {}
 }
