--- /dev/null
+++ b/src/main/java/org/spoolline/api/CancellationHandler.java
@@ -0,0 +1,102 @@
+package org.spoolline.api;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.config.Constants;
+import org.spoolline.job.JobKeys;
+import org.spoolline.job.JobReader;
+import org.spoolline.job.StoredJob;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.net.Http;
+import org.spoolline.net.Json;
+import org.spoolline.pipeline.Pipeline;
+
+/** Cancels jobs by a compare-and-swap of their live value, and confirms a cancellation only once it is committed. */
+final class CancellationHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
+
+    private final KeyValueStoreClient store;
+    private final JobReader reader;
+    private final Consumer<String> onCancelled;
+
+    /** {@code onCancelled} gets the id of the job before each response that confirms a cancellation. */
+    CancellationHandler(KeyValueStoreClient store, JobReader reader, Consumer<String> onCancelled) {
+        this.store = store;
+        this.reader = reader;
+        this.onCancelled = onCancelled;
+    }
+
+    /**
+     * Cancels a job, and responds with its status. A job in a terminal state stays as it is, a cancelled one is confirmed
+     * again. After {@link Constants.Api#CANCEL_TRIES} concurrent changes the client is to come again.
+     */
+    void cancel(String jobId, Consumer<Http.Response> responder) {
+        cancel(jobId, Constants.Api.CANCEL_TRIES, responder);
+    }
+
+    private void cancel(String jobId, int triesLeft, Consumer<Http.Response> responder) {
+        reader.read(
+                jobId,
+                stored -> cancelStored(jobId, stored, triesLeft, responder),
+                failure -> responder.accept(JobResponseCodec.readFailed(failure)));
+    }
+
+    private void cancelStored(String jobId, StoredJob stored, int triesLeft, Consumer<Http.Response> responder) {
+        if (stored instanceof StoredJob.Terminal terminal) {
+            responder.accept(JobResponseCodec.terminalStatus(jobId, terminal.record()));
+        } else if (stored instanceof StoredJob.Live live) {
+            cancelLive(jobId, live, triesLeft, responder);
+        } else {
+            responder.accept(JobResponseCodec.noSuchJob());
+        }
+    }
+
+    private void cancelLive(String jobId, StoredJob.Live live, int triesLeft, Consumer<Http.Response> responder) {
+        Pipeline pipeline = Pipeline.decode(live.value());
+        if (pipeline.cancelled()) {
+            confirm(jobId, responder);
+            return;
+        }
+        if (!store.tryAcquire(1)) {
+            responder.accept(JobResponseCodec.rateLimited());
+            return;
+        }
+        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+                .requireVersion(JobKeys.live(jobId), live.version())
+                .put(JobKeys.live(jobId), cancelledValue(pipeline));
+        store.commit(transaction, result -> {
+            if (result.outcome() == KeyValueStoreClient.CommitOutcome.APPLIED) {
+                LOG.info("Cancelled job: job={}", jobId);
+                confirm(jobId, responder);
+            } else if (isWorthRetrying(result.outcome()) && triesLeft > 1) {
+                cancel(jobId, triesLeft - 1, responder);
+            } else {
+                responder.accept(JobResponseCodec.unavailable());
+            }
+        });
+    }
+
+    /** The value of the job once it is cancelled, in a form that the limits in force allow. */
+    private ObjectNode cancelledValue(Pipeline pipeline) {
+        pipeline.cancel();
+        ObjectNode value = pipeline.encode();
+        if (Json.bytes(value).length > store.limits().valueBytes()) {
+            pipeline.cancelWithUnlistedAttempts();
+            value = pipeline.encode();
+        }
+        return value;
+    }
+
+    /** True after a concurrent change, and after a commit that showed that lower announced limits are in force. */
+    private static boolean isWorthRetrying(KeyValueStoreClient.CommitOutcome outcome) {
+        return outcome == KeyValueStoreClient.CommitOutcome.CONFLICT
+                || outcome == KeyValueStoreClient.CommitOutcome.TOO_LARGE;
+    }
+
+    private void confirm(String jobId, Consumer<Http.Response> responder) {
+        onCancelled.accept(jobId);
+        responder.accept(JobResponseCodec.cancelled(jobId));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/api/SubmissionHandler.java
@@ -0,0 +1,156 @@
+package org.spoolline.api;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.config.Constants;
+import org.spoolline.job.JobKeys;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.net.EventLoop;
+import org.spoolline.net.Http;
+import org.spoolline.net.Json;
+import org.spoolline.pipeline.Pipeline;
+import org.spoolline.pipeline.Submission;
+import org.spoolline.pipeline.SubmissionCodec;
+import org.spoolline.upgrade.VersionRegistry;
+
+/**
+ * Accepts or rejects submissions. A submission is an idempotent request by its job id: a job is accepted once, and every
+ * later submission of it gets the job's status.
+ */
+final class SubmissionHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
+
+    private final EventLoop loop;
+    private final KeyValueStoreClient store;
+    private final VersionRegistry versions;
+    private final SubmissionValidator validator;
+    private final AncestorChecker ancestorChecker;
+    private final StatusHandler statusHandler;
+
+    SubmissionHandler(
+            EventLoop loop,
+            KeyValueStoreClient store,
+            VersionRegistry versions,
+            SubmissionValidator validator,
+            AncestorChecker ancestorChecker,
+            StatusHandler statusHandler) {
+        this.loop = loop;
+        this.store = store;
+        this.versions = versions;
+        this.validator = validator;
+        this.ancestorChecker = ancestorChecker;
+        this.statusHandler = statusHandler;
+    }
+
+    /** Handles the body of a submission. */
+    void submit(byte[] body, Consumer<Http.Response> responder) {
+        Submission job;
+        try {
+            job = SubmissionCodec.parse(Json.read(body));
+        } catch (SubmissionCodec.Malformed e) {
+            LOG.info("Rejected malformed submission: reason={}", e.getMessage());
+            responder.accept(JobResponseCodec.malformed(e));
+            return;
+        }
+        Optional<Http.Response> terminalStatus = statusHandler.cachedTerminalStatus(job.jobId());
+        if (terminalStatus.isPresent()) {
+            responder.accept(terminalStatus.get());
+        } else if (validator.isReady()) {
+            submit(job, responder);
+        } else {
+            responder.accept(JobResponseCodec.unavailable());
+        }
+    }
+
+    private void submit(Submission job, Consumer<Http.Response> responder) {
+        Optional<UnsatisfiableReason> reason = validator.validate(job);
+        if (reason.isPresent()) {
+            rejectUnlessAccepted(job, JobResponseCodec.unsatisfiable(job, reason.get()), responder);
+            return;
+        }
+        Pipeline pipeline = Pipeline.accept(job, SubmissionCodec.encode(job), loop.timeOfDay());
+        int maxBytes = maxDescriptionBytes(job);
+        if (Json.bytes(pipeline.encode()).length > maxBytes) {
+            rejectUnlessAccepted(job, JobResponseCodec.descriptionTooLong(maxBytes), responder);
+        } else if (job.dependencies().isEmpty()) {
+            accept(pipeline, responder);
+        } else {
+            submitWithDependencies(pipeline, responder);
+        }
+    }
+
+    /** An accepted job must not be rejected later, even if this node's settings or machine types have changed. */
+    private void rejectUnlessAccepted(Submission job, Http.Response rejection, Consumer<Http.Response> responder) {
+        statusHandler.respondIfAccepted(job.jobId(), responder, () -> responder.accept(rejection));
+    }
+
+    /**
+     * Bytes of the stored value of a new job at most. The attempts need the rest; a job that waits for dependencies has
+     * no attempts until its dependencies are dropped from the value.
+     */
+    private int maxDescriptionBytes(Submission job) {
+        double share = job.dependencies().isEmpty() ? Constants.Job.DESCRIPTION_SHARE : Constants.Job.VALUE_FILL;
+        return (int) (store.safeValueBytes() * share);
+    }
+
+    /** Accepts a job with dependencies once every controller can read such a job and all its dependencies were accepted. */
+    private void submitWithDependencies(Pipeline pipeline, Consumer<Http.Response> responder) {
+        versions.ask(controllers -> {
+            if (controllers == VersionRegistry.Answer.ALL_UPGRADED) {
+                checkDependencies(pipeline, responder);
+            } else {
+                responder.accept(JobResponseCodec.unavailable());
+            }
+        });
+    }
+
+    private void checkDependencies(Pipeline pipeline, Consumer<Http.Response> responder) {
+        Submission job = pipeline.spec();
+        ancestorChecker.check(job.dependencies(), verdict -> {
+            switch (verdict) {
+                case NONE_CANCELLED -> accept(pipeline, responder);
+                case CANCELLED -> {
+                    pipeline.cancel();
+                    accept(pipeline, responder);
+                }
+                case UNSATISFIABLE -> rejectUnlessAccepted(
+                        job, JobResponseCodec.unsatisfiable(job, UnsatisfiableReason.DEPENDENCY_NEVER_DONE), responder);
+                case RATE_LIMITED -> responder.accept(JobResponseCodec.rateLimited());
+                case STORE_UNREACHABLE -> responder.accept(JobResponseCodec.unavailable());
+            }
+        });
+    }
+
+    /** Stores the job by a compare-and-swap that requires both of its keys to be absent, and responds once it is stored. */
+    private void accept(Pipeline pipeline, Consumer<Http.Response> responder) {
+        if (!store.tryAcquire(1)) {
+            responder.accept(JobResponseCodec.rateLimited());
+            return;
+        }
+        String jobId = pipeline.jobId();
+        long sentAt = loop.now();
+        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+                .requireVersion(JobKeys.live(jobId), 0)
+                .requireVersion(JobKeys.terminal(jobId), 0)
+                .put(JobKeys.live(jobId), pipeline.encode());
+        store.commit(transaction, result -> {
+            switch (result.outcome()) {
+                case APPLIED -> {
+                    logAccepted(pipeline.spec());
+                    ancestorChecker.observe(pipeline, sentAt);
+                    responder.accept(JobResponseCodec.accepted(pipeline));
+                }
+                case CONFLICT -> statusHandler.respondIfAccepted(
+                        jobId, responder, () -> responder.accept(JobResponseCodec.unavailable()));
+                default -> responder.accept(JobResponseCodec.unavailable());
+            }
+        });
+    }
+
+    private static void logAccepted(Submission job) {
+        LOG.info(
+                "Accepted job: job={} class={} team={} tasks={}", job.jobId(), job.jobClass(), job.team(), job.tasks());
+    }
+}
