--- /dev/null
+++ b/src/main/java/org/spoolline/api/AncestorWalk.java
@@ -0,0 +1,141 @@
+package org.spoolline.api;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.spoolline.job.JobReader;
+import org.spoolline.job.StoredJob;
+import org.spoolline.job.TerminalRecord;
+import org.spoolline.net.EventLoop;
+import org.spoolline.pipeline.Pipeline;
+
+/**
+ * One walk through all ancestors of a job, each of which is visited once. Reads are sent side by side. The walk is a loop
+ * over a queue instead of a recursion, so that a long chain of dependencies takes no deep stack.
+ */
+final class AncestorWalk {
+    private final EventLoop loop;
+    private final JobReader reader;
+    private final AncestorCache cache;
+    private final Set<String> directDependencies;
+    private final Consumer<AncestorVerdict> onVerdict;
+    private final Set<String> visited = new HashSet<>();
+    private final Deque<String> toVisit = new ArrayDeque<>();
+    private int readsInFlight;
+    private boolean visiting;
+    private AncestorVerdict verdict = AncestorVerdict.NONE_CANCELLED;
+
+    /** Prepares a walk; {@code onVerdict} runs once, when no ancestor is left to visit and no read is in flight. */
+    AncestorWalk(
+            EventLoop loop,
+            JobReader reader,
+            AncestorCache cache,
+            Set<String> directDependencies,
+            Consumer<AncestorVerdict> onVerdict) {
+        this.loop = loop;
+        this.reader = reader;
+        this.cache = cache;
+        this.directDependencies = directDependencies;
+        this.onVerdict = onVerdict;
+        toVisit.addAll(directDependencies);
+    }
+
+    /** Visits what is left to visit. To be called once from outside; later calls come from the walk's own reads. */
+    void proceed() {
+        if (visiting) {
+            // A read has failed before the call that sent it returned: the loop below is still running and goes on.
+            return;
+        }
+        visiting = true;
+        while (!toVisit.isEmpty()) {
+            String jobId = toVisit.remove();
+            if (visited.add(jobId)) {
+                visit(jobId);
+            }
+        }
+        visiting = false;
+        if (readsInFlight == 0) {
+            onVerdict.accept(verdict);
+        }
+    }
+
+    private void visit(String jobId) {
+        Optional<TerminalRecord> record = reader.cachedTerminalRecord(jobId);
+        Optional<AncestorCache.LiveJob> live = cache.liveJob(jobId);
+        if (cache.isCancelled(jobId)) {
+            add(AncestorVerdict.CANCELLED);
+        } else if (record.isPresent()) {
+            addTerminal(record.get());
+        } else if (live.isPresent() && cache.isFresh(live.get())) {
+            addLive(jobId, live.get());
+        } else {
+            read(jobId);
+        }
+    }
+
+    private void read(String jobId) {
+        readsInFlight++;
+        long sentAt = loop.now();
+        reader.read(
+                jobId,
+                stored -> {
+                    readsInFlight--;
+                    addStored(jobId, stored, sentAt);
+                    proceed();
+                },
+                failure -> {
+                    readsInFlight--;
+                    add(verdictOn(failure));
+                    proceed();
+                });
+    }
+
+    private static AncestorVerdict verdictOn(JobReader.Failure failure) {
+        return switch (failure) {
+            case RATE_LIMITED -> AncestorVerdict.RATE_LIMITED;
+            case STORE_UNREACHABLE -> AncestorVerdict.STORE_UNREACHABLE;
+        };
+    }
+
+    private void addStored(String jobId, StoredJob stored, long sentAt) {
+        if (stored instanceof StoredJob.Terminal terminal) {
+            addTerminal(terminal.record());
+        } else if (stored instanceof StoredJob.Live live) {
+            addPipeline(jobId, Pipeline.decode(live.value()), sentAt);
+        } else {
+            add(AncestorVerdict.UNSATISFIABLE);
+        }
+    }
+
+    private void addPipeline(String jobId, Pipeline pipeline, long sentAt) {
+        cache.observe(pipeline, sentAt);
+        if (pipeline.cancelled()) {
+            add(AncestorVerdict.CANCELLED);
+            return;
+        }
+        AncestorCache.LiveJob live = cache.liveJob(jobId)
+                .orElseThrow(() ->
+                        new IllegalStateException("under the key of " + jobId + " is stored " + pipeline.jobId()));
+        addLive(jobId, live);
+    }
+
+    private void addLive(String jobId, AncestorCache.LiveJob live) {
+        if (live.service() && directDependencies.contains(jobId)) {
+            add(AncestorVerdict.UNSATISFIABLE);
+        }
+        toVisit.addAll(live.dependencies());
+    }
+
+    private void addTerminal(TerminalRecord record) {
+        if (!record.done()) {
+            add(AncestorVerdict.CANCELLED);
+        }
+    }
+
+    private void add(AncestorVerdict other) {
+        verdict = verdict.combine(other);
+    }
+}
--- a/src/test/java/org/spoolline/api/AncestorCheckerTest.java
+++ b/src/test/java/org/spoolline/api/AncestorCheckerTest.java
@@ -15,12 +15,12 @@
 import org.spoolline.net.Http;
 
 class AncestorCheckerTest {
-    /** Paths of the requests to the state service, none of which is answered. */
-    private final List<String> asked = new ArrayList<>();
+    /** Paths of the requests to the key-value store, none of which is answered. */
+    private final List<String> requestedPaths = new ArrayList<>();
 
-    private AncestorChecker ancestors() throws SettingsException {
+    private AncestorChecker ancestorChecker() throws SettingsException {
         FakeEventLoop loop = new FakeEventLoop();
-        Http.Caller caller = (target, method, path, body, timeoutMs, done) -> asked.add(path);
+        Http.Caller caller = (target, method, path, body, timeoutMs, done) -> requestedPaths.add(path);
         Settings settings = SettingsFile.parse(SampleSettings.NODE);
         KeyValueStoreClient store = new KeyValueStoreClient(loop, caller, settings);
         loop.runTo(10_000);
@@ -32,10 +32,29 @@
      * direction and from whatever element, is the one of this list.
      */
     @Test
-    void prerequisitesAreReadInTheOrderGivenAndEachOnce() throws SettingsException {
-        ancestors().check(List.of("c", "a", "e", "a", "b", "f", "d", "c"), verdict -> {});
+    void dependenciesAreReadInTheOrderGivenAndEachOnce() throws SettingsException {
+        ancestorChecker().check(List.of("c", "a", "e", "a", "b", "f", "d", "c"), verdict -> {});
         assertEquals(
                 List.of("/keys/job/c", "/keys/job/a", "/keys/job/e", "/keys/job/b", "/keys/job/f", "/keys/job/d"),
-                asked);
+                requestedPaths);
+    }
+
+    /** Clients get other responses by another order, see {@link AncestorVerdict}. */
+    @Test
+    void theVerdictOfHigherPrecedenceIsKeptInEitherOrder() {
+        List<AncestorVerdict> ascending = List.of(
+                AncestorVerdict.NONE_CANCELLED,
+                AncestorVerdict.CANCELLED,
+                AncestorVerdict.RATE_LIMITED,
+                AncestorVerdict.STORE_UNREACHABLE,
+                AncestorVerdict.UNSATISFIABLE);
+        assertEquals(List.of(AncestorVerdict.values()), ascending);
+        for (int high = 0; high < ascending.size(); high++) {
+            for (int low = 0; low <= high; low++) {
+                AncestorVerdict expected = ascending.get(high);
+                assertEquals(expected, ascending.get(low).combine(expected));
+                assertEquals(expected, expected.combine(ascending.get(low)));
+            }
+        }
     }
 }
