--- a/src/main/java/org/spoolline/pipeline/Pipeline.java
+++ b/src/main/java/org/spoolline/pipeline/Pipeline.java
@@ -1,147 +1,110 @@
 package org.spoolline.pipeline;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.Base64;
-import java.util.BitSet;
 import java.util.Collection;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Set;
-import org.agrona.collections.Hashing;
-import org.agrona.collections.Int2ObjectHashMap;
-import org.spoolline.config.Constants;
-import org.spoolline.net.Json;
 
 /**
- * A job as the one stored value of the design: submission, CEKK state, wide join, current attempts and retry state.
- * The activity is the job itself; an array's tasks are a fork too wide for a frame each, so its join is kept as a low
- * mark plus a bitmap of a bounded window (all tasks below the mark are done), which fits any width into one value.
+ * A job as the one stored value of the design: its submission, the state of its CEKK machine, the join of its tasks, its
+ * current attempts and its retries. The paper's activity is the job itself: the rules see that all of its tasks have
+ * succeeded (A2) or that one has failed (A3, O3).
  *
- * <p>A job with prerequisites begins with a fork over them (F1) whose branches end as those jobs do; the join (J2) goes on
- * to the tasks. The join's count is not stored: the lasting records of the prerequisites are the truth, and whoever leads
- * steps the stored start by them. Once all are done, the value is that of a job without prerequisites.
+ * <p>A job with dependencies begins with a fork over them (F1), whose branches end as those jobs do; the join (J2) goes on
+ * to the tasks. The join's count is not stored: it is derived from the terminal records of the dependencies, and the
+ * leader steps the stored start by them. Once all have succeeded, the value is that of a job without dependencies.
  *
- * <p>Mutable while a cycle of decisions works on its own {@link #copy}; the confirmed one is never changed.
+ * <p>Mutable while a scheduling cycle works on a {@link #copy} of its own; the committed one is never changed. Not safe
+ * for threads.
  */
 public final class Pipeline {
-    private static final String ACTIVITY = "tasks";
-    /** The join of the fork over the prerequisites. */
-    private static final String PREREQUISITES_JOIN = "prerequisites";
+    /** Name of the activity that stands for all of the job's tasks; it is part of the stored value. */
+    private static final String TASKS_ACTIVITY = "tasks";
+    /** Name of the join of the fork over the dependencies, which is never stored. */
+    private static final String DEPENDENCIES_JOIN = "dependencies";
 
-    private Submission spec;
-    private JsonNode rawSpec;
+    private EncodedSubmission job;
     private final long submittedAt;
     private long eligibleAt;
     private boolean cancelled;
-    private CekkMachine.State cekk;
-    private int completedBelow;
-    private final BitSet completedWindow;
-    private long lastAttempt;
-    /** By task: a task has one attempt at most. */
-    private final Int2ObjectHashMap<Attempt> attempts;
-
-    private int failures;
-    private long notBefore;
-    private final Set<String> avoided;
-    /** Attempts of a cancelled job that the value has no room to list. */
-    private int unlistedAttempts;
-
-    private Pipeline(
-            Submission spec,
-            JsonNode rawSpec,
+    private CekkMachine.State enactment;
+    private final TaskJoin join;
+    private final TaskAttempts attempts;
+    private final RetryState retry;
+
+    /** Continues a job that isn't cancelled; the parts are owned by the pipeline from now on. */
+    Pipeline(
+            EncodedSubmission job,
             long submittedAt,
-            long releasedAt,
-            boolean cancelled,
-            CekkMachine.State cekk,
-            int low,
-            BitSet window,
-            long lastAttempt,
-            Int2ObjectHashMap<Attempt> attempts,
-            int failures,
-            long notBefore,
-            Set<String> avoided) {
-        this.spec = spec;
-        this.rawSpec = rawSpec;
+            long eligibleAt,
+            CekkMachine.State enactment,
+            TaskJoin join,
+            TaskAttempts attempts,
+            RetryState retry) {
+        this.job = job;
         this.submittedAt = submittedAt;
-        this.eligibleAt = releasedAt;
-        this.cancelled = cancelled;
-        this.cekk = cekk;
-        this.completedBelow = low;
-        this.completedWindow = window;
-        this.lastAttempt = lastAttempt;
+        this.eligibleAt = eligibleAt;
+        this.enactment = enactment;
+        this.join = join;
         this.attempts = attempts;
-        this.failures = failures;
-        this.notBefore = notBefore;
-        this.avoided = avoided;
+        this.retry = retry;
     }
 
-    /** A new pipeline; {@code submittedAt} is the time of day in milliseconds. */
+    /**
+     * A new job.
+     *
+     * @param spec        the checked submission
+     * @param rawSpec     its stored form, see {@link SubmissionCodec#encode}
+     * @param submittedAt time of day in ms
+     */
     public static Pipeline accept(Submission spec, JsonNode rawSpec, long submittedAt) {
+        return accept(new EncodedSubmission(spec, rawSpec), submittedAt);
+    }
+
+    static Pipeline accept(EncodedSubmission job, long submittedAt) {
         return new Pipeline(
-                spec,
-                rawSpec,
+                job,
                 submittedAt,
                 submittedAt,
-                false,
-                enacted(spec.dependencies()),
-                0,
-                new BitSet(),
-                0,
-                noAttempts(),
-                0,
-                0,
-                new LinkedHashSet<>());
-    }
-
-    /** With iterators of their own: a cached one would break when loops over the same attempts nest. */
-    private static Int2ObjectHashMap<Attempt> noAttempts() {
-        return new Int2ObjectHashMap<>(Constants.Job.INITIAL_ATTEMPTS, Hashing.DEFAULT_LOAD_FACTOR, false);
+                start(job.submission().dependencies()),
+                TaskJoin.empty(),
+                new TaskAttempts(0),
+                RetryState.empty());
     }
 
     /**
-     * The job's activity under an or-closure that regenerates itself: a users' job is never called failed. Before it, a
-     * fork over the prerequisites, whose branches have an empty failure stack: if one fails, the tasks are cancelled.
+     * The job's activity under an or-closure that regenerates itself, since a users' job is never called failed. Before
+     * it, a fork over the dependencies, whose branches have an empty failure stack: if one fails, the tasks are cancelled.
      */
-    private static CekkMachine.State enacted(List<String> prerequisites) {
-        Flow.Activity job = new Flow.Activity(ACTIVITY);
-        Flow endless =
-                new Flow.OrClosure(new Flow.Or(List.of(job)), ContinuationStack.BOTTOM, ContinuationStack.BOTTOM, true);
-        if (prerequisites.isEmpty()) {
-            return CekkMachine.start(job, ContinuationStack.BOTTOM.push(endless));
+    private static CekkMachine.State start(List<String> dependencies) {
+        Flow.Activity tasks = new Flow.Activity(TASKS_ACTIVITY);
+        Flow retriedTasks = new Flow.OrClosure(
+                new Flow.Or(List.of(tasks)), ContinuationStack.BOTTOM, ContinuationStack.BOTTOM, true);
+        if (dependencies.isEmpty()) {
+            return CekkMachine.start(tasks, ContinuationStack.BOTTOM.push(retriedTasks));
         }
-        List<Flow> needed = new ArrayList<>();
-        prerequisites.forEach(jobId -> needed.add(new Flow.Activity(jobId)));
-        return CekkMachine.start(new Flow.Seq(List.of(new Flow.Fork(PREREQUISITES_JOIN, needed), endless)));
+        List<Flow> branches = new ArrayList<>();
+        dependencies.forEach(jobId -> branches.add(new Flow.Activity(jobId)));
+        return CekkMachine.start(new Flow.Seq(List.of(new Flow.Fork(DEPENDENCIES_JOIN, branches), retriedTasks)));
     }
 
+    /** A pipeline in the same state that changes independently of this one. */
     public Pipeline copy() {
-        Pipeline copy = new Pipeline(
-                spec,
-                rawSpec,
-                submittedAt,
-                eligibleAt,
-                cancelled,
-                cekk,
-                completedBelow,
-                (BitSet) completedWindow.clone(),
-                lastAttempt,
-                new Int2ObjectHashMap<>(attempts),
-                failures,
-                notBefore,
-                new LinkedHashSet<>(avoided));
-        copy.unlistedAttempts = unlistedAttempts;
+        Pipeline copy =
+                new Pipeline(job, submittedAt, eligibleAt, enactment, join.copy(), attempts.copy(), retry.copy());
+        copy.cancelled = cancelled;
         return copy;
     }
 
+    /** What the user asked for; without its dependencies once they are satisfied. */
     public Submission spec() {
-        return spec;
+        return job.submission();
     }
 
+    /** Identifies the job, for users and in the key-value store. */
     public String jobId() {
-        return spec.jobId();
+        return spec().jobId();
     }
 
     /** Time of day of the submission, in ms: the deadline counts from it. */
@@ -149,335 +112,248 @@
         return submittedAt;
     }
 
-    /** Time of day in ms from which the job waits for room: of the submission, or of the end of its last prerequisite. */
+    /** Time of day in ms from which the job waits for capacity: of its submission, or of the end of its last dependency. */
     public long eligibleAt() {
         return eligibleAt;
     }
 
-    /** True while the job waits for prerequisites: it has no attempt and takes nothing of its team's share. */
+    /** True while the job waits for dependencies: it has no attempt and takes nothing of its team's share. */
     public boolean hasUnsatisfiedDependencies() {
-        return !spec.dependencies().isEmpty();
+        return !spec().dependencies().isEmpty();
     }
 
-    /** Every prerequisite is done: their branches join, which pops the success stack to the tasks. */
+    /**
+     * All dependencies have succeeded: their branches join (J2), which pops the success stack to the tasks.
+     *
+     * @param timeOfDay the time in ms from which the job waits for capacity
+     */
     public void satisfyDependencies(long timeOfDay) {
-        for (String jobId : spec.dependencies()) {
-            cekk = CekkMachine.succeeded(cekk, jobId);
+        for (String jobId : spec().dependencies()) {
+            enactment = CekkMachine.succeeded(enactment, jobId);
         }
-        if (!cekk.active().equals(List.of(ACTIVITY))) {
+        if (!enactment.active().equals(List.of(TASKS_ACTIVITY))) {
             throw new IllegalStateException(jobId() + " does not go on to its tasks");
         }
-        // The environment of a join that is over is of no more use, and would take room in the value.
-        cekk = enacted(List.of());
-        spec = spec.withoutDependencies();
-        rawSpec = SubmissionCodec.encode(spec);
+        // The environment of a join that has succeeded is of no further use, and would take space in the value.
+        enactment = start(List.of());
+        job = EncodedSubmission.of(spec().withoutDependencies());
         eligibleAt = timeOfDay;
     }
 
-    /** A prerequisite was cancelled: its branch fails, and with no other way left the tasks are cancelled. */
+    /** A dependency was cancelled: its branch fails, and with no other way left the tasks are cancelled. */
     public void cancelWithDependency(String jobId) {
-        cekk = CekkMachine.failed(cekk, jobId);
-        cancelled |= cekk.failing();
+        enactment = CekkMachine.failed(enactment, jobId);
+        cancelled |= enactment.failing();
     }
 
-    public boolean cancelled() {
-        return cancelled;
+    /** Cancels the job: no task starts from now on, and those that run are stopped. */
+    public void cancel() {
+        cancelled = true;
     }
 
-    /** True when a stored value is that of a cancelled job, without reading the rest of it. */
-    public static boolean isStoredAsCancelled(JsonNode stored) {
-        return stored.path("cancelled").asBoolean();
+    /**
+     * Cancels a job whose value, written under larger limits, has become too large to be written with its attempts. Only
+     * their number is kept: it counts against the team's limit until cancel_s after this was stored, by when no task of a
+     * cancelled job is on any machine. Workers end a task that no value lists with their next heartbeat.
+     */
+    public void cancelWithUnlistedAttempts() {
+        cancelled = true;
+        attempts.unlistAll();
     }
 
-    /** The attempts, at most one for each task. */
-    public Collection<Attempt> attempts() {
-        return attempts.values();
+    /** True once the job is cancelled, even while some of its tasks still run. */
+    public boolean cancelled() {
+        return cancelled;
     }
 
-    /** True when this very attempt is among them. */
-    public boolean hasAttempt(Attempt attempt) {
-        return attempt.equals(attempts.get(attempt.task()));
+    /** True once a cancelled job has no attempt left, so that its terminal record can take the value's place. */
+    public boolean cancelledWithoutAttempts() {
+        return cancelled && attempts.isEmpty();
     }
 
-    public long notBefore() {
-        return notBefore;
+    /** Number of attempts that may still be on machines, though the value does not list them. */
+    public int unlistedAttempts() {
+        return attempts.unlisted();
     }
 
-    public boolean avoids(String machine) {
-        return avoided.contains(machine);
+    /** The time has passed by which no unlisted attempt is on any machine. */
+    public void clearUnlistedAttempts() {
+        attempts.setUnlisted(0);
     }
 
-    /** True once the join has succeeded and the success stack was popped to the empty flow. */
+    /** True once the join has succeeded and the success stack was popped to the empty flow (A2). */
     public boolean succeeded() {
-        return cekk.end() == CekkMachine.End.SUCCEEDED;
+        return enactment.end() == CekkMachine.End.SUCCEEDED;
     }
 
+    /** True once the task, by its index from 0, has completed. */
     public boolean isTaskCompleted(int task) {
-        return task < completedBelow || completedWindow.get(task - completedBelow);
+        return join.isCompleted(task);
     }
 
+    /** Number of completed tasks. */
     public int completedTasks() {
-        return completedBelow + completedWindow.cardinality();
+        return join.completedTasks();
     }
 
-    /** A task completed: it joins; the last one makes the activity succeed (A2) and pops the success stack. */
+    /** A task completed: it joins (J2); the last one makes the activity succeed (A2) and pops the success stack. */
     public void completeTask(int task) {
         if (succeeded() || isTaskCompleted(task)) {
             return;
         }
-        completedWindow.set(task - completedBelow);
-        int first = completedWindow.nextClearBit(0);
-        if (first > 0) {
-            completedBelow += first;
-            BitSet rest = completedWindow.get(first, Math.max(first, completedWindow.length()));
-            completedWindow.clear();
-            completedWindow.or(rest);
-        }
-        if (completedTasks() == spec.tasks()) {
-            cekk = CekkMachine.succeeded(cekk, ACTIVITY);
+        join.complete(task);
+        if (completedTasks() == spec().tasks()) {
+            enactment = CekkMachine.succeeded(enactment, TASKS_ACTIVITY);
         }
     }
 
-    /** A task failed: the failure stack (A3, O3) sets the job up for another way, elsewhere and later. */
+    /** A task failed: the failure stack (A3, O3) sets the job up for another way, on another machine and later. */
     public void recordTaskFailure(String machine, long timeOfDay) {
         if (succeeded()) {
             return;
         }
-        cekk = CekkMachine.failed(cekk, ACTIVITY);
-        int doublings = Math.min(failures, Constants.Job.FAILURE_BACKOFF_DOUBLINGS);
-        failures++;
-        notBefore = timeOfDay + (Constants.Job.FAILURE_BACKOFF_MS << doublings);
-        avoided.add(machine);
-        if (avoided.size() > Constants.Job.AVOIDED_MACHINES_MAX) {
-            avoided.remove(avoided.iterator().next());
-        }
+        enactment = CekkMachine.failed(enactment, TASKS_ACTIVITY);
+        retry.recordFailure(machine, timeOfDay);
     }
 
+    /** Number of task failures so far. */
     public int failures() {
-        return failures;
+        return retry.failures();
     }
 
-    /** A pause without blame, after a start that was refused. */
+    /** Starts no task before the given time of day in ms, after a start that was rejected: that is no failure. */
     public void backOffUntil(long timeOfDay) {
-        notBefore = Math.max(notBefore, timeOfDay);
+        retry.backOffUntil(timeOfDay);
     }
 
-    public void cancel() {
-        cancelled = true;
-    }
-
-    /**
-     * Cancels a job whose value, written under larger limits, has become too large to be written with its attempts. Only
-     * their number is kept: it counts against the team's limit until cancel_s after this was stored, by when no task of a
-     * cancelled job is on any machine. Workers end a task that no value lists as soon as they report it.
-     */
-    public void cancelWithUnlistedAttempts() {
-        cancelled = true;
-        unlistedAttempts += attempts.size();
-        attempts.clear();
+    /** Time of day in ms before which no task starts; 0 where there is no such time. */
+    public long notBefore() {
+        return retry.notBefore();
     }
 
-    /** Number of attempts that may still be on machines, though the value does not list them. */
-    public int unlistedAttempts() {
-        return unlistedAttempts;
+    /** True when a task of the job failed on the machine recently. */
+    public boolean avoids(String machine) {
+        return retry.avoids(machine);
     }
 
-    /** The time by which unlisted attempts are gone is over. */
-    public void clearUnlistedAttempts() {
-        unlistedAttempts = 0;
+    /** Bytes by which the stored join may still grow, at most, as the current attempts complete in any order. */
+    public int joinGrowthBytes() {
+        int highestTask = -1;
+        for (Attempt attempt : attempts.listed()) {
+            highestTask = Math.max(highestTask, attempt.task());
+        }
+        return join.growthBytes(highestTask);
     }
 
-    /** True once a cancelled job has no attempt left, so that its lasting record can take the value's place. */
-    public boolean cancelledWithoutAttempts() {
-        return cancelled && attempts.isEmpty() && unlistedAttempts == 0;
+    /** A view of the attempts, at most one for each task. */
+    public Collection<Attempt> attempts() {
+        return attempts.listed();
     }
 
-    /** Bytes by which the stored join may still grow, at most, as tasks end in any order. */
-    public int joinGrowthBytes() {
-        int end = completedWindow.length();
-        for (Attempt attempt : attempts.values()) {
-            end = Math.max(end, attempt.task() + 1 - completedBelow);
-        }
-        return base64Length(end) - base64Length(completedWindow.length());
+    /** True when this very attempt is among them. */
+    public boolean hasAttempt(Attempt attempt) {
+        return attempts.contains(attempt);
     }
 
-    private static int base64Length(int bits) {
-        int bytes = (bits + Byte.SIZE - 1) / Byte.SIZE;
-        return (bytes * 4 + 2) / 3;
+    /** Adds the attempt of a task that has none. */
+    public void addAttempt(Attempt attempt) {
+        attempts.add(attempt);
     }
 
-    /** An attempt that was decided but not stored leaves no trace. */
+    /** Removes an attempt that was planned but not stored, without a trace. */
     public void withdrawAttempt(Attempt attempt) {
-        if (hasAttempt(attempt)) {
-            attempts.remove(attempt.task());
-        }
+        attempts.remove(attempt);
     }
 
-    /** An attempt has ended with its task done. */
+    /** An attempt has ended with its task completed. */
     public void completeAttempt(Attempt attempt) {
-        withdrawAttempt(attempt);
+        attempts.remove(attempt);
         completeTask(attempt.task());
     }
 
     /** An attempt has ended otherwise: its task may start again, but never under the same number. */
     public void loseAttempt(Attempt attempt) {
-        withdrawAttempt(attempt);
-        lastAttempt = Math.max(lastAttempt, attempt.number() + 1);
+        attempts.retire(attempt);
     }
 
     /** True once a task of the job has been placed. */
     public boolean hasStarted() {
-        return lastAttempt > 0;
+        return attempts.highestNumber() > 0;
     }
 
     /**
-     * Number for new starts. The numbers of any one task only grow, since {@link #loseAttempt} goes past the one lost; tasks
-     * that start for the first time share a number, and with it their machine's place in the stored form.
+     * Number for new attempts. The numbers of any one task only grow, since {@link #loseAttempt} goes past the lost one;
+     * tasks that start for the first time share a number, and with it their machine's place in the stored form.
      */
     public long nextAttemptNumber() {
-        lastAttempt = Math.max(lastAttempt, 1);
-        return lastAttempt;
-    }
-
-    public void addAttempt(Attempt attempt) {
-        attempts.put(attempt.task(), attempt);
+        return attempts.nextNumber();
     }
 
-    /** Tasks neither done nor on a machine, lowest first, at most {@code most}, within the join's window. */
+    /** Tasks neither completed nor on a machine, lowest first, at most {@code most}, within the join's window. */
     public List<Integer> unplacedTasks(int most) {
         List<Integer> found = new ArrayList<>();
         if (cancelled || succeeded()) {
             return found;
         }
-        int end = Math.min(spec.tasks(), completedBelow + Constants.Job.JOIN_WINDOW);
-        for (int task = completedBelow; task < end && found.size() < most; task++) {
-            if (!isTaskCompleted(task) && !attempts.containsKey(task)) {
+        int end = join.windowEnd(spec().tasks());
+        for (int task = join.completedBelow(); task < end && found.size() < most; task++) {
+            if (!join.isCompleted(task) && !attempts.hasAttemptOf(task)) {
                 found.add(task);
             }
         }
         return found;
     }
 
-    /** Number of tasks neither done nor on a machine. */
+    /** Number of tasks neither completed nor on a machine. */
     public int unplacedTaskCount() {
         if (cancelled || succeeded()) {
             return 0;
         }
-        int held = 0;
-        for (Attempt attempt : attempts.values()) {
+        int placed = 0;
+        for (Attempt attempt : attempts.listed()) {
             if (!isTaskCompleted(attempt.task())) {
-                held++;
+                placed++;
             }
         }
-        return spec.tasks() - completedTasks() - held;
+        return spec().tasks() - completedTasks() - placed;
     }
 
-    /** The stored form. */
+    /** The stored form; the caller may write it, and must not change it. */
     public ObjectNode encode() {
-        boolean withoutTasks = hasUnsatisfiedDependencies() || unlistedAttempts > 0;
-        int version = withoutTasks ? Constants.Job.PIPELINE_VERSION_DEPENDENT : Constants.Job.PIPELINE_VERSION;
-        ObjectNode value = Json.object().put("ver", version);
-        value.set("job", rawSpec);
-        value.put("at", eligibleAt);
-        if (cancelled) {
-            value.put("cancelled", true);
-        }
-        if (unlistedAttempts > 0) {
-            value.put("unlisted", unlistedAttempts);
-        }
-        if (withoutTasks) {
-            return value;
-        }
-        if (submittedAt != eligibleAt) {
-            value.put("sub", submittedAt);
-        }
-        value.set("k", ContinuationStackCodec.encode(cekk));
-        value.put("low", completedBelow);
-        if (!completedWindow.isEmpty()) {
-            value.put("win", Base64.getEncoder().withoutPadding().encodeToString(completedWindow.toByteArray()));
-        }
-        value.put("n", lastAttempt);
-        if (!attempts.isEmpty()) {
-            value.set("on", AttemptsCodec.encode(attempts.values(), lastAttempt));
-        }
-        if (failures > 0) {
-            value.put("fails", failures);
-            ArrayNode bad = value.putArray("avoid");
-            avoided.forEach(bad::add);
-        }
-        if (notBefore > 0) {
-            value.put("notBefore", notBefore);
-        }
-        return value;
+        return PipelineCodec.encode(this);
     }
 
-    /** Reads the stored form, of any version that was ever written. */
+    /**
+     * Reads the stored form, of any version that was ever written.
+     *
+     * @throws IllegalArgumentException if the value is damaged or of an unknown version
+     */
     public static Pipeline decode(JsonNode value) {
-        if (value.path("ver").asInt() == Constants.Job.PIPELINE_VERSION_DEPENDENT) {
-            return decodeWithoutTasks(value);
-        }
-        Int2ObjectHashMap<Attempt> attempts = noAttempts();
-        long last = value.path("n").asLong();
-        switch (value.path("ver").asInt()) {
-            case Constants.Job.PIPELINE_VERSION -> AttemptsCodec.decode(
-                    value.path("on"), last, attempt -> attempts.put(attempt.task(), attempt));
-            case Constants.Job.PIPELINE_VERSION_LEGACY -> decodeRuns(value.path("on"), attempts);
-            default -> throw new IllegalArgumentException("pipeline value of unknown version " + value.path("ver"));
-        }
-        Set<String> avoided = new LinkedHashSet<>();
-        value.path("avoid").forEach(m -> avoided.add(m.asText()));
-        JsonNode raw = value.path("job");
-        BitSet window =
-                BitSet.valueOf(Base64.getDecoder().decode(value.path("win").asText("")));
-        return new Pipeline(
-                SubmissionCodec.decodeStored(raw),
-                raw,
-                value.path("sub").asLong(value.path("at").asLong()),
-                value.path("at").asLong(),
-                isStoredAsCancelled(value),
-                ContinuationStackCodec.decode(value.path("k")),
-                value.path("low").asInt(),
-                window,
-                last,
-                attempts,
-                value.path("fails").asInt(),
-                value.path("notBefore").asLong(),
-                avoided);
+        return PipelineCodec.decode(value);
     }
 
-    /**
-     * A job that waits for prerequisites, whose submission says all since where it stands is derived from other jobs; or a
-     * cancelled one whose attempts are not listed.
-     */
-    private static Pipeline decodeWithoutTasks(JsonNode value) {
-        JsonNode raw = value.path("job");
-        Pipeline decoded =
-                accept(SubmissionCodec.decodeStored(raw), raw, value.path("at").asLong());
-        decoded.cancelled = isStoredAsCancelled(value);
-        decoded.unlistedAttempts = value.path("unlisted").asInt();
-        if (!decoded.hasUnsatisfiedDependencies() && decoded.unlistedAttempts <= 0) {
-            throw new IllegalArgumentException("stored pipeline neither waits nor has unlisted attempts");
-        }
-        return decoded;
-    }
-
-    /** The earlier form: a group is an array of machine, session, number and runs of tasks as text. */
-    private static void decodeRuns(JsonNode groups, Int2ObjectHashMap<Attempt> attempts) {
-        for (JsonNode group : groups) {
-            for (String run : group.path(3).asText().split(",")) {
-                int dash = run.indexOf('-');
-                int from = Integer.parseInt(dash < 0 ? run : run.substring(0, dash));
-                int to = dash < 0 ? from : Integer.parseInt(run.substring(dash + 1));
-                for (int task = from; task <= to; task++) {
-                    attempts.put(
-                            task,
-                            new Attempt(
-                                    task,
-                                    group.path(2).asLong(),
-                                    group.path(0).asText(),
-                                    group.path(1).asLong()));
-                }
-            }
-        }
+    /** True when a stored value is that of a cancelled job, without reading the rest of it. */
+    public static boolean isStoredAsCancelled(JsonNode stored) {
+        return PipelineCodec.isCancelled(stored);
+    }
+
+    JsonNode encodedSubmission() {
+        return job.encoded();
+    }
+
+    CekkMachine.State enactment() {
+        return enactment;
+    }
+
+    TaskJoin join() {
+        return join;
+    }
+
+    TaskAttempts taskAttempts() {
+        return attempts;
+    }
+
+    RetryState retry() {
+        return retry;
     }
 }
