--- a/src/main/java/org/spoolline/worker/HeartbeatCodec.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatCodec.java
@@ -5,116 +5,136 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.spoolline.cluster.Heartbeat;
 import org.spoolline.cluster.TaskStatus;
 import org.spoolline.net.Json;
 
-/** Reads heartbeats from their wire form: the only place that knows its field names. */
-public final class HeartbeatCodec {
+/**
+ * Reads heartbeats from their wire form. With {@link HeartbeatResponseCodec} it is the only place that knows the
+ * workers' field names. It reads the tokens as they come, without a tree: heartbeats are the most frequent requests.
+ */
+final class HeartbeatCodec {
     private HeartbeatCodec() {}
 
-    /** Reads the wire form as it streams by, the most frequent request of all; null when it is not a check-in. */
-    public static Heartbeat parse(byte[] body) {
+    /** The heartbeat, or empty when the bytes are none. Unknown fields are skipped. */
+    static Optional<Heartbeat> decode(byte[] body) {
         try (JsonParser in = Json.parser(body)) {
-            return in.nextToken() == JsonToken.START_OBJECT ? new Reading(in).report() : null;
+            return in.nextToken() == JsonToken.START_OBJECT ? new Decoder(in).decode() : Optional.empty();
         } catch (IOException | NumberFormatException e) {
-            return null;
+            return Optional.empty();
         }
     }
 
-    /** The fields of one check-in, as far as they have come. */
-    private static final class Reading {
+    /** The fields of one heartbeat, as far as they are read. */
+    private static final class Decoder {
         private final JsonParser in;
         private String machine = "";
         private String address = "";
         private String type = "";
         private String zone = "";
         private boolean spot;
-        private long session = -1;
-        private long tick = -1;
+        private long incarnation = -1;
+        private long number = -1;
         private long token;
-        private Double noticeS;
+        private Double interruptionNoticeS;
         private final List<TaskStatus> tasks = new ArrayList<>();
 
-        Reading(JsonParser in) {
+        Decoder(JsonParser in) {
             this.in = in;
         }
 
-        Heartbeat report() throws IOException {
+        Optional<Heartbeat> decode() throws IOException {
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String field = in.currentName();
                 JsonToken value = in.nextToken();
-                switch (field) {
-                    case "spooler" -> machine = in.getValueAsString("");
-                    case "addr" -> address = in.getValueAsString("");
-                    case "build" -> type = in.getValueAsString("");
-                    case "yard" -> zone = in.getValueAsString("");
-                    case "standby" -> spot = in.getValueAsBoolean();
-                    case "shift" -> session = in.getValueAsLong(-1);
-                    case "tick" -> tick = in.getValueAsLong(-1);
-                    case "baton" -> token = in.getValueAsLong();
-                    case "recallS" -> noticeS =
-                            value == JsonToken.VALUE_NULL ? null : Double.valueOf(in.getValueAsDouble());
-                    case "slips" -> {
-                        while (in.nextToken() == JsonToken.START_OBJECT) {
-                            TaskStatus task = task();
-                            if (task == null) {
-                                return null;
-                            }
-                            tasks.add(task);
-                        }
-                    }
-                    default -> in.skipChildren();
+                if (!readField(field, value)) {
+                    return Optional.empty();
+                }
+            }
+            boolean complete =
+                    !machine.isEmpty() && incarnation >= 0 && number >= 0 && in.currentToken() == JsonToken.END_OBJECT;
+            return complete
+                    ? Optional.of(new Heartbeat(
+                            machine, address, type, zone, spot, incarnation, number, token, interruptionNoticeS, tasks))
+                    : Optional.empty();
+        }
+
+        /** Reads the value at which the parser stands; false when it makes the whole no heartbeat. */
+        private boolean readField(String field, JsonToken value) throws IOException {
+            switch (field) {
+                case "spooler" -> machine = in.getValueAsString("");
+                case "addr" -> address = in.getValueAsString("");
+                case "build" -> type = in.getValueAsString("");
+                case "yard" -> zone = in.getValueAsString("");
+                case "standby" -> spot = in.getValueAsBoolean();
+                case "shift" -> incarnation = in.getValueAsLong(-1);
+                case "tick" -> number = in.getValueAsLong(-1);
+                case "baton" -> token = in.getValueAsLong();
+                case "recallS" -> interruptionNoticeS =
+                        value == JsonToken.VALUE_NULL ? null : Double.valueOf(in.getValueAsDouble());
+                case "slips" -> {
+                    return readTasks();
                 }
+                default -> in.skipChildren();
             }
-            return machine.isEmpty() || session < 0 || tick < 0 || in.currentToken() != JsonToken.END_OBJECT
-                    ? null
-                    : new Heartbeat(machine, address, type, zone, spot, session, tick, token, noticeS, tasks);
+            return true;
         }
 
-        private TaskStatus task() throws IOException {
-            String slip = "";
+        /** Reads task objects up to anything else; false when one of them is no task. */
+        private boolean readTasks() throws IOException {
+            while (in.nextToken() == JsonToken.START_OBJECT) {
+                if (!readTask()) {
+                    return false;
+                }
+            }
+            return true;
+        }
+
+        private boolean readTask() throws IOException {
+            String id = "";
             long attempt = 0;
-            TaskStatus.Phase phase = null;
-            String why = "";
-            boolean saved = false;
+            String status = "";
+            String cause = "";
+            boolean checkpointed = false;
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String field = in.currentName();
                 in.nextToken();
                 switch (field) {
-                    case "slip" -> slip = in.getValueAsString("");
+                    case "slip" -> id = in.getValueAsString("");
                     case "try" -> attempt = in.getValueAsLong();
-                    case "status" -> phase = phase(in.getValueAsString(""));
-                    case "cause" -> why = in.getValueAsString("");
-                    case "kept" -> saved = in.getValueAsBoolean();
+                    case "status" -> status = in.getValueAsString("");
+                    case "cause" -> cause = in.getValueAsString("");
+                    case "kept" -> checkpointed = in.getValueAsBoolean();
                     default -> in.skipChildren();
                 }
             }
-            int slash = slip.lastIndexOf('/');
-            return slash < 0 || phase == null
-                    ? null
-                    : new TaskStatus(
-                            slip.substring(0, slash),
-                            Integer.parseInt(slip.substring(slash + 1)),
-                            attempt,
-                            phase,
-                            phase == TaskStatus.Phase.EXITED ? cause(why) : null,
-                            saved);
+            int slash = id.lastIndexOf('/');
+            Optional<TaskStatus.Phase> phase = phase(status);
+            if (slash < 0 || phase.isEmpty()) {
+                return false;
+            }
+            String jobId = id.substring(0, slash);
+            int task = Integer.parseInt(id.substring(slash + 1));
+            TaskStatus.ExitReason reason = phase.get() == TaskStatus.Phase.EXITED ? exitReason(cause) : null;
+            tasks.add(new TaskStatus(jobId, task, attempt, phase.get(), reason, checkpointed));
+            return true;
         }
     }
 
-    private static TaskStatus.Phase phase(String wire) {
+    private static Optional<TaskStatus.Phase> phase(String wire) {
         return switch (wire) {
-            case "pulling" -> TaskStatus.Phase.FETCHING_IMAGE;
-            case "gathering" -> TaskStatus.Phase.WAITING_FOR_GANG;
-            case "running" -> TaskStatus.Phase.RUNNING;
-            case "flushing" -> TaskStatus.Phase.SAVING_CHECKPOINT;
-            case "exited" -> TaskStatus.Phase.EXITED;
-            default -> null;
+            case "pulling" -> Optional.of(TaskStatus.Phase.FETCHING_IMAGE);
+            case "gathering" -> Optional.of(TaskStatus.Phase.WAITING_FOR_GANG);
+            case "running" -> Optional.of(TaskStatus.Phase.RUNNING);
+            case "flushing" -> Optional.of(TaskStatus.Phase.SAVING_CHECKPOINT);
+            case "exited" -> Optional.of(TaskStatus.Phase.EXITED);
+            default -> Optional.empty();
         };
     }
 
-    private static TaskStatus.ExitReason cause(String wire) {
+    /** A reason that is unknown here counts as a failure of the task. */
+    private static TaskStatus.ExitReason exitReason(String wire) {
         return switch (wire) {
             case "done" -> TaskStatus.ExitReason.COMPLETED;
             case "halted" -> TaskStatus.ExitReason.STOPPED;
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -1,20 +1,13 @@
 package org.spoolline.worker;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Collection;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.spoolline.cluster.Heartbeat;
 import org.spoolline.cluster.Machine;
 import org.spoolline.cluster.MachineRegistry;
-import org.spoolline.cluster.TaskStatus;
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
 import org.spoolline.election.LeaderElection;
@@ -24,37 +17,37 @@
 import org.spoolline.metrics.Event;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
-import org.spoolline.net.Json;
-import org.spoolline.pipeline.Attempt;
-import org.spoolline.pipeline.AttemptId;
 import org.spoolline.reconcile.DesiredState;
 
 /**
- * Answers the workers' check-ins. Wanted: each machine holds just the attempts stored for it; the orders are the
- * difference to what it reports. Launches travel only here, so none is ever carried out late.
+ * The workers' heartbeat endpoint. It decides whether a heartbeat is served here, redirected to the leader or rejected;
+ * {@link LeaseRenewal} answers those that are served, at once or after a short hold ({@link HeldResponses}). Used on the
+ * event loop only.
  */
 public final class HeartbeatService {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatService.class);
 
     private final EventLoop loop;
-    private final Http.Caller http;
     private final Settings settings;
     private final long leaseMs;
     private final LeaderElection election;
     private final StalenessBound staleness;
     private final MachineRegistry machines;
-    private final JobTable jobs;
-    private final DesiredState desiredState;
     private final Consumer<Machine> onChange;
     private final Counters counters;
-    private final Map<String, Held> heldResponses = new LinkedHashMap<>();
-    /** Machines to be nudged once others have answered: a nudge takes a socket, and sockets are few. */
-    private final Set<String> earlyHeartbeatsPending = new LinkedHashSet<>();
-
-    private int earlyHeartbeatsInFlight;
-    private boolean setReady;
+    private final OrderPlanner planner;
+    private final LeaseRenewal renewal;
+    private final HeldResponses heldResponses;
+    private final EarlyHeartbeatRequests earlyHeartbeats;
     private long lastHeartbeatAt;
 
+    /**
+     * Creates the endpoint.
+     *
+     * @param desiredState which stored attempts are to be stopped, and which may be launched
+     * @param onChange is called with each machine whose heartbeat shows a change, after the heartbeat is answered or its
+     *     response held
+     */
     public HeartbeatService(
             EventLoop loop,
             Http.Caller http,
@@ -64,337 +57,163 @@
             MachineRegistry machines,
             JobTable jobs,
             DesiredState desiredState,
-            Consumer<Machine> news,
+            Consumer<Machine> onChange,
             Counters counters) {
         this.loop = loop;
-        this.http = http;
         this.settings = settings;
         this.leaseMs = settings.workers().leaseMs();
         this.election = election;
         this.staleness = staleness;
         this.machines = machines;
-        this.jobs = jobs;
-        this.desiredState = desiredState;
-        this.onChange = news;
+        this.onChange = onChange;
         this.counters = counters;
+        planner = new OrderPlanner(jobs, desiredState, counters);
+        renewal = new LeaseRenewal(loop, election, staleness, planner, counters);
+        heldResponses = new HeldResponses(loop, staleness, planner, renewal);
+        earlyHeartbeats = new EarlyHeartbeatRequests(loop, http, settings, election, machines, heldResponses);
     }
 
-    /** True when a worker has come here lately, whatever it was answered. */
+    /** True when a heartbeat has come here lately, whatever its response was. */
     public boolean receivesHeartbeats() {
         return loop.now() - lastHeartbeatAt < settings.heartbeatsMissingMs();
     }
 
-    /** True when machines should be reporting, and none has for too long: the workers may not get through to us. */
+    /** True when machines are known but no heartbeat has come for too long: workers may be unable to reach this node. */
     public boolean workersUnreachable() {
         return !receivesHeartbeats() && machines.all().stream().anyMatch(machine -> !machine.terminated());
     }
 
-    /** Orders are given only once the live pipelines have been read under the present token. */
-    public void setReady(boolean value) {
-        setReady = value;
+    /** Orders are sent only while {@code ready}: once the live pipelines have been read under the present token. */
+    public void setReady(boolean ready) {
+        renewal.setOrdersEnabled(ready);
     }
 
+    /** Serves one heartbeat. The answer is given exactly once, at once or after a short hold. */
     public void handle(Http.Request request, Consumer<Http.Response> answer) {
         if (!election.isLeader()) {
-            // Unread: after a crash of all controllers a thousand workers come at once to processes that are cold.
-            lastHeartbeatAt = loop.now();
-            redirect(answer);
+            // Not decoded: after a crash of all controllers a thousand workers reach just started processes at once.
+            redirectToLeader(answer);
             return;
         }
-        Heartbeat heartbeat = HeartbeatCodec.parse(request.body());
-        if (heartbeat == null) {
-            counters.count(Event.HEARTBEAT_MALFORMED);
-            answer.accept(Http.Response.of(400, Json.error("not a check-in")));
+        Optional<Heartbeat> heartbeat = HeartbeatCodec.decode(request.body());
+        if (heartbeat.isEmpty()) {
+            reject(HeartbeatRejection.MALFORMED, answer);
             return;
         }
-        election.observeWorkerToken(heartbeat.token());
+        election.observeWorkerToken(heartbeat.get().token());
         if (!election.mayKeepAlive()) {
-            lastHeartbeatAt = loop.now();
-            redirect(answer);
+            redirectToLeader(answer);
             return;
         }
+        handleAsLeader(heartbeat.get(), answer);
+    }
+
+    /**
+     * Releases held responses after the scheduling cycle's values are written: with {@code all} every one, else those to
+     * machines that have attempts to launch.
+     */
+    public void releaseHeldResponses(boolean all) {
+        if (all) {
+            heldResponses.releaseAll();
+        } else {
+            heldResponses.releaseThoseWithLaunches();
+        }
+    }
+
+    /** Makes the machines send a heartbeat at once, so that they receive their orders. */
+    public void requestEarlyHeartbeats(Collection<String> names) {
+        earlyHeartbeats.request(names);
+    }
+
+    private void handleAsLeader(Heartbeat heartbeat, Consumer<Http.Response> answer) {
         Machine machine = machines.getOrRegister(
                 heartbeat.machine(), heartbeat.type(), heartbeat.zone(), heartbeat.spot(), loop.now());
         if (machine.terminated()) {
-            // Its attempts may have been started elsewhere: renewing its lease could bring a task to life twice.
-            counters.count(Event.HEARTBEAT_OF_TERMINATED_MACHINE);
-            answer.accept(new Http.Response(503, Json.error("machine is gone"), 0));
+            reject(HeartbeatRejection.MACHINE_TERMINATED, answer);
             return;
         }
-        if (!election.hasValidLease()
-                && machine.shouldProbeForLeader(loop.now(), leaseMs / Constants.Heartbeat.LEADER_PROBES_PER_LEASE)) {
-            // Without the state service nobody here can tell an outage from a cut. A worker that asks the others and
-            // comes back has found no new leader; one that stays away has, and need not wait for our time to end.
-            counters.count(Event.HEARTBEAT_LEADER_PROBE);
-            answer.accept(Http.Response.of(503, Json.error("no contact with the state service")));
+        if (shouldProbeForLeader(machine)) {
+            reject(HeartbeatRejection.LEADER_PROBE, answer);
             return;
         }
         boolean first = !machine.hasReported();
-        Machine.HeartbeatChange brings = machine.accept(heartbeat, leaseMs, loop.now());
-        if (brings == Machine.HeartbeatChange.STALE) {
-            // A late copy: the worker has long gone on, so the answer reaches nobody. It renews nothing.
-            counters.count(Event.HEARTBEAT_STALE);
-            answer.accept(Http.Response.of(503, Json.error("an older report")));
+        Machine.HeartbeatChange change = machine.accept(heartbeat, leaseMs, loop.now());
+        if (change == Machine.HeartbeatChange.STALE) {
+            reject(HeartbeatRejection.STALE_HEARTBEAT, answer);
             return;
         }
         lastHeartbeatAt = loop.now();
         if (first) {
-            machine.markBusy(loop.now());
-            LOG.debug(
-                    "first heartbeat of machine {} {} in {}, session {}",
-                    machine.name(),
-                    machine.type(),
-                    machine.zone(),
-                    machine.incarnation());
-        }
-        // This answer brings it what the nudge would have it ask for.
-        earlyHeartbeatsPending.remove(machine.name());
-        Held held = new Held(machine, answer);
-        Held older = heldResponses.remove(machine.name());
-        if (older != null) {
-            older.answer(false);
+            recordFirstHeartbeat(machine);
         }
-        if (!staleness.hasCompleteView()
-                || (idleNewcomer(machine, first) || bringsEnds(machine)) && election.hasValidLease()) {
-            // Before the jobs are read, nobody here can tell whose lease may be renewed; and where room has come free,
-            // the
-            // next task's launch is only a commit away, the next report seconds.
-            heldResponses.put(machine.name(), held);
-            loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> release(held));
-        } else {
-            held.answer(true);
-        }
-        if (brings == Machine.HeartbeatChange.CHANGED) {
+        // The response to this heartbeat carries the orders that a pending early-heartbeat request is about.
+        earlyHeartbeats.cancel(machine.name());
+        heldResponses.replace(machine.name());
+        respond(machine, first, answer);
+        if (change == Machine.HeartbeatChange.CHANGED) {
             onChange.accept(machine);
         }
     }
 
-    /** A machine that a new leader hears first while tasks run on it gains nothing by a held answer, and its lease ends. */
-    private static boolean idleNewcomer(Machine machine, boolean first) {
-        return first && machine.tasks().isEmpty();
-    }
-
-    private boolean bringsEnds(Machine machine) {
-        Map<AttemptId, Attempt> stored = jobs.attemptsOn(machine.name());
-        return machine.tasks().entrySet().stream()
-                .anyMatch(t -> t.getValue().phase() == TaskStatus.Phase.EXITED && stored.containsKey(t.getKey()));
-    }
-
-    /** Answers held reports of machines that have launches to carry out by now; with {@code all}, every one. */
-    public void releaseHeldResponses(boolean all) {
-        for (Held held : List.copyOf(heldResponses.values())) {
-            if (all || launchable(held.machine)) {
-                release(held);
-            }
-        }
+    /**
+     * Without the key-value store a leader cannot tell an outage from a partition that leaves it alone. A worker that
+     * asks the other controllers and comes back has found no newer leader; one that stays away has found one, and does
+     * not have to wait until this leadership expires.
+     */
+    private boolean shouldProbeForLeader(Machine machine) {
+        return !election.hasValidLease()
+                && machine.shouldProbeForLeader(loop.now(), leaseMs / Constants.Heartbeat.LEADER_PROBES_PER_LEASE);
     }
 
-    private void release(Held held) {
-        if (!staleness.hasCompleteView()
-                && loop.now() - held.since < Constants.Heartbeat.RESPONSE_HOLD_UNTIL_LOADED_MS) {
-            loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> release(held));
-        } else if (heldResponses.remove(held.machine.name(), held)) {
-            held.answer(true);
-        }
+    private void recordFirstHeartbeat(Machine machine) {
+        machine.markBusy(loop.now());
+        LOG.debug(
+                "First heartbeat: machine={} type={} zone={} incarnation={}",
+                machine.name(),
+                machine.type(),
+                machine.zone(),
+                machine.incarnation());
     }
 
-    /** A report whose answer is held back for a moment; it is answered once. */
-    private final class Held {
-        private final Machine machine;
-        private final long session;
-        private final long tick;
-        private final long since = loop.now();
-        private final Consumer<Http.Response> answer;
-
-        Held(Machine machine, Consumer<Http.Response> answer) {
-            this.machine = machine;
-            this.session = machine.incarnation();
-            this.tick = machine.heartbeatNumber();
-            this.answer = answer;
-        }
-
-        void answer(boolean withOrders) {
-            if (!staleness.mayRenewLeases() || machine.terminated()) {
-                counters.count(
-                        machine.terminated() ? Event.HEARTBEAT_OF_TERMINATED_MACHINE : Event.HEARTBEAT_STALE_VIEW);
-                answer.accept(Http.Response.of(503, Json.error("too long without contact to renew a lease")));
-                return;
-            }
-            long token = election.workerFencingToken() + machine.earlyHeartbeatRequests();
-            ObjectNode body = Json.object().put("baton", token);
-            ArrayNode orders = body.putArray("orders");
-            if (withOrders && setReady && machine.incarnation() == session && machine.heartbeatNumber() == tick) {
-                if (staleness.mayLaunch()) {
-                    give(machine, orders);
-                } else {
-                    counters.count(Event.LAUNCH_WITHHELD_STALE_VIEW);
-                    if (staleness.mayStopCancelled()) {
-                        stopCancelled(machine, orders);
-                    }
-                }
-            }
-            machine.recordResponse(token, loop.now());
-            counters.count(Event.HEARTBEAT_RENEWED);
-            answer.accept(Http.Response.of(200, Json.bytes(body)));
+    private void respond(Machine machine, boolean first, Consumer<Http.Response> answer) {
+        PendingResponse pending = new PendingResponse(machine, loop.now(), answer);
+        if (shouldHold(machine, first)) {
+            heldResponses.hold(pending);
+        } else {
+            renewal.respondWithOrders(pending);
         }
     }
 
     /**
-     * Makes machines report at once, so that orders reach them without waiting for the regular report: a command
-     * without orders that shows a higher token. It starts nothing, so it may arrive as late as it likes. A worker
-     * heeds a higher token once per half of its lease. Only so many are under way at once; the rest take turns.
+     * Before the jobs are read, nobody here can tell whose lease may be renewed. Where capacity becomes free, the launch
+     * of the next task is only a commit away, but the next heartbeat seconds.
      */
-    public void requestEarlyHeartbeats(Collection<String> names) {
-        earlyHeartbeatsPending.addAll(names);
-        while (earlyHeartbeatsInFlight < settings.maxEarlyHeartbeatRequests() && !earlyHeartbeatsPending.isEmpty()) {
-            String name = earlyHeartbeatsPending.iterator().next();
-            earlyHeartbeatsPending.remove(name);
-            requestEarlyHeartbeats(name);
-        }
-    }
-
-    private void requestEarlyHeartbeats(String name) {
-        Machine machine = machines.get(name);
-        if (machine == null
-                || machine.terminated()
-                || heldResponses.containsKey(name)
-                || !election.hasValidLease()
-                || machine.address().isEmpty()
-                || loop.now() - machine.earlyHeartbeatRequestedAt() <= leaseMs / 2 + Constants.Time.MARGIN_MS) {
-            return;
+    private boolean shouldHold(Machine machine, boolean first) {
+        if (!staleness.hasCompleteView()) {
+            return true;
         }
-        machine.recordEarlyHeartbeatRequest(loop.now());
-        ObjectNode body = Json.object()
-                .put("baton", election.workerFencingToken() + machine.earlyHeartbeatRequests())
-                .put("shift", machine.incarnation());
-        body.putArray("orders");
-        earlyHeartbeatsInFlight++;
-        http.call(
-                machine.address(),
-                "POST",
-                "/commands",
-                Json.bytes(body),
-                Constants.Heartbeat.EARLY_HEARTBEAT_TIMEOUT_MS,
-                reply -> {
-                    earlyHeartbeatsInFlight--;
-                    requestEarlyHeartbeats(Set.of());
-                });
+        boolean hasFreeCapacity = isFirstWithoutTasks(machine, first) || planner.listsExitOfStoredAttempt(machine);
+        return hasFreeCapacity && election.hasValidLease();
     }
 
-    private boolean launchable(Machine machine) {
-        for (Map.Entry<AttemptId, Attempt> e : jobs.attemptsOn(machine.name()).entrySet()) {
-            if (e.getValue().incarnation() == machine.incarnation()
-                    && !machine.tasks().containsKey(e.getKey())) {
-                return true;
-            }
-        }
-        return false;
+    /** A machine whose first heartbeat under a new leader lists tasks gains nothing by a hold, and its lease runs out. */
+    private static boolean isFirstWithoutTasks(Machine machine, boolean first) {
+        return first && machine.tasks().isEmpty();
     }
 
-    private void redirect(Consumer<Http.Response> answer) {
+    private void redirectToLeader(Consumer<Http.Response> answer) {
+        lastHeartbeatAt = loop.now();
         String leader = election.knownLeader();
-        counters.count(leader == null ? Event.HEARTBEAT_WITHOUT_LEADER : Event.HEARTBEAT_REDIRECTED);
         if (leader == null) {
-            answer.accept(Http.Response.of(503, Json.error("no leader is known")));
-        } else {
-            answer.accept(Http.Response.of(421, Json.bytes(Json.object().put("foreman", leader))));
-        }
-    }
-
-    private void give(Machine machine, ArrayNode orders) {
-        Map<AttemptId, Attempt> stored = jobs.attemptsOn(machine.name());
-        for (Map.Entry<AttemptId, TaskStatus> listed : machine.tasks().entrySet()) {
-            AttemptId attemptId = listed.getKey();
-            TaskStatus status = listed.getValue();
-            Attempt attempt = stored.get(attemptId);
-            boolean kept = attempt != null && attempt.incarnation() == machine.incarnation();
-            if (status.phase() == TaskStatus.Phase.EXITED) {
-                if (!kept) {
-                    order(orders, "clear", attemptId);
-                }
-                continue;
-            }
-            Double grace = kept ? grace(attemptId, attempt) : Double.valueOf(0);
-            if (grace != null && !(status.phase() == TaskStatus.Phase.SAVING_CHECKPOINT && grace > 0)) {
-                stop(orders, machine, attemptId, grace);
-            }
-        }
-        for (Map.Entry<AttemptId, Attempt> e : stored.entrySet()) {
-            AttemptId attemptId = e.getKey();
-            if (orders.size() < Constants.Heartbeat.MAX_ORDERS
-                    && e.getValue().incarnation() == machine.incarnation()
-                    && !machine.tasks().containsKey(attemptId)
-                    && grace(attemptId, e.getValue()) == null
-                    && mayLaunch(attemptId)
-                    && noOtherAttempt(machine, attemptId)) {
-                counters.count(Event.LAUNCH_ORDERED);
-                order(orders, "launch", attemptId);
-                machine.recordLaunch(attemptId);
-                LOG.debug(
-                        "launch {}/{} attempt {} on {}",
-                        attemptId.jobId(),
-                        attemptId.task(),
-                        attemptId.attempt(),
-                        machine.name());
-            }
-        }
-    }
-
-    private boolean mayLaunch(AttemptId attemptId) {
-        boolean may = desiredState.mayLaunch(attemptId);
-        if (!may) {
-            counters.count(Event.LAUNCH_WITHHELD_GANG_FETCHING);
-        }
-        return may;
-    }
-
-    /** Without a young view: the ends of tasks whose jobs are known to be cancelled, and no more. */
-    private void stopCancelled(Machine machine, ArrayNode orders) {
-        machine.tasks().forEach((attemptId, status) -> {
-            JobTable.Entry entry = jobs.get(attemptId.jobId());
-            if (status.phase() != TaskStatus.Phase.EXITED && entry != null && entry.cancelled()) {
-                stop(orders, machine, attemptId, 0);
-            }
-        });
-    }
-
-    private void stop(ArrayNode orders, Machine machine, AttemptId attemptId, double grace) {
-        order(orders, "kill", attemptId).put("windDownS", grace);
-        counters.count(Event.STOP_ORDERED);
-        LOG.debug(
-                "stop {}/{} attempt {} on {}, grace {} s",
-                attemptId.jobId(),
-                attemptId.task(),
-                attemptId.attempt(),
-                machine.name(),
-                grace);
-    }
-
-    /** Null when the attempt is to go on, else the grace its end may take. */
-    private Double grace(AttemptId attemptId, Attempt attempt) {
-        JobTable.Entry entry = jobs.get(attemptId.jobId());
-        if (entry == null || entry.cancelled() || !entry.holdsAttempt(attempt)) {
-            return 0.0;
-        }
-        return desiredState.graceOf(attemptId);
-    }
-
-    private static boolean noOtherAttempt(Machine machine, AttemptId wanted) {
-        for (TaskStatus status : machine.tasks().values()) {
-            if (status.task() == wanted.task()
-                    && status.jobId().equals(wanted.jobId())
-                    && status.attempt() != wanted.attempt()
-                    && status.phase() != TaskStatus.Phase.EXITED) {
-                return false;
-            }
+            reject(HeartbeatRejection.NO_KNOWN_LEADER, answer);
+            return;
         }
-        return true;
+        counters.count(Event.HEARTBEAT_REDIRECTED);
+        answer.accept(HeartbeatResponseCodec.redirect(leader));
     }
 
-    private static ObjectNode order(ArrayNode orders, String verb, AttemptId attemptId) {
-        return orders.addObject()
-                .put("verb", verb)
-                .put("slip", attemptId.jobId() + "/" + attemptId.task())
-                .put("try", attemptId.attempt());
+    private void reject(HeartbeatRejection rejection, Consumer<Http.Response> answer) {
+        counters.count(rejection.event());
+        answer.accept(HeartbeatResponseCodec.rejection(rejection));
     }
 }
--- /dev/null
+++ b/src/main/java/org/spoolline/worker/HeldResponses.java
@@ -0,0 +1,72 @@
+package org.spoolline.worker;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.spoolline.config.Constants;
+import org.spoolline.election.StalenessBound;
+import org.spoolline.net.EventLoop;
+
+/**
+ * Responses that are held for a moment, at most one per machine, so that they can carry launches which the next
+ * scheduling cycle commits. Each is released by the cycle, by a later heartbeat of the machine, or by time.
+ */
+final class HeldResponses {
+    private final EventLoop loop;
+    private final StalenessBound staleness;
+    private final OrderPlanner planner;
+    private final LeaseRenewal renewal;
+    private final Map<String, PendingResponse> byMachine = new LinkedHashMap<>();
+
+    HeldResponses(EventLoop loop, StalenessBound staleness, OrderPlanner planner, LeaseRenewal renewal) {
+        this.loop = loop;
+        this.staleness = staleness;
+        this.planner = planner;
+        this.renewal = renewal;
+    }
+
+    /** True when a response to the machine is held. */
+    boolean contains(String machine) {
+        return byMachine.containsKey(machine);
+    }
+
+    /** Holds the response; none of its machine may be held already. */
+    void hold(PendingResponse pending) {
+        byMachine.put(pending.machine().name(), pending);
+        loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> release(pending));
+    }
+
+    /** Answers the machine's held response, if any, without orders: a later heartbeat has come. */
+    void replace(String machine) {
+        PendingResponse earlier = byMachine.remove(machine);
+        if (earlier != null) {
+            renewal.respondWithoutOrders(earlier);
+        }
+    }
+
+    /** Releases every held response. */
+    void releaseAll() {
+        for (PendingResponse pending : List.copyOf(byMachine.values())) {
+            release(pending);
+        }
+    }
+
+    /** Releases the responses to machines that have attempts to launch. */
+    void releaseThoseWithLaunches() {
+        for (PendingResponse pending : List.copyOf(byMachine.values())) {
+            if (planner.hasUnlistedAttempt(pending.machine())) {
+                release(pending);
+            }
+        }
+    }
+
+    /** Sends the response with orders, or holds it on while a new leader still reads the jobs. */
+    private void release(PendingResponse pending) {
+        if (!staleness.hasCompleteView()
+                && loop.now() - pending.receivedAt() < Constants.Heartbeat.RESPONSE_HOLD_UNTIL_LOADED_MS) {
+            loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> release(pending));
+        } else if (byMachine.remove(pending.machine().name(), pending)) {
+            renewal.respondWithOrders(pending);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/worker/LeaseRenewal.java
@@ -0,0 +1,116 @@
+package org.spoolline.worker;
+
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.cluster.Machine;
+import org.spoolline.election.LeaderElection;
+import org.spoolline.election.StalenessBound;
+import org.spoolline.metrics.Counters;
+import org.spoolline.metrics.Event;
+import org.spoolline.net.EventLoop;
+import org.spoolline.pipeline.AttemptId;
+
+/**
+ * Answers accepted heartbeats: renews the worker's lease if the staleness bound still allows it at the moment of the
+ * answer, and sends the orders that the leader may give at that moment. Used on the event loop only.
+ */
+final class LeaseRenewal {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaseRenewal.class);
+
+    private final EventLoop loop;
+    private final LeaderElection election;
+    private final StalenessBound staleness;
+    private final OrderPlanner planner;
+    private final Counters counters;
+    private boolean ordersEnabled;
+
+    LeaseRenewal(
+            EventLoop loop,
+            LeaderElection election,
+            StalenessBound staleness,
+            OrderPlanner planner,
+            Counters counters) {
+        this.loop = loop;
+        this.election = election;
+        this.staleness = staleness;
+        this.planner = planner;
+        this.counters = counters;
+    }
+
+    /** Orders are sent only once the live pipelines have been read under the present fencing token. */
+    void setOrdersEnabled(boolean enabled) {
+        ordersEnabled = enabled;
+    }
+
+    /** Answers with the orders that the machine needs now. */
+    void respondWithOrders(PendingResponse pending) {
+        if (mayRenewOrReject(pending)) {
+            renew(pending, orders(pending));
+        }
+    }
+
+    /** Answers a heartbeat that a later one has replaced: its orders travel in the later one's response. */
+    void respondWithoutOrders(PendingResponse pending) {
+        if (mayRenewOrReject(pending)) {
+            renew(pending, List.of());
+        }
+    }
+
+    private boolean mayRenewOrReject(PendingResponse pending) {
+        boolean terminated = pending.machine().terminated();
+        if (staleness.mayRenewLeases() && !terminated) {
+            return true;
+        }
+        HeartbeatRejection rejection =
+                terminated ? HeartbeatRejection.TERMINATED_WHILE_HELD : HeartbeatRejection.STALE_VIEW;
+        counters.count(rejection.event());
+        pending.send(HeartbeatResponseCodec.rejection(rejection));
+        return false;
+    }
+
+    private void renew(PendingResponse pending, List<Order> orders) {
+        Machine machine = pending.machine();
+        long token = election.workerFencingToken() + machine.earlyHeartbeatRequests();
+        for (int i = 0; i < orders.size(); i++) {
+            record(machine, orders.get(i));
+        }
+        machine.recordResponse(token, loop.now());
+        counters.count(Event.HEARTBEAT_RENEWED);
+        pending.send(HeartbeatResponseCodec.renewal(token, orders));
+    }
+
+    private List<Order> orders(PendingResponse pending) {
+        if (!ordersEnabled || !pending.answersLastHeartbeat()) {
+            return List.of();
+        }
+        if (staleness.mayLaunch()) {
+            return planner.ordersFor(pending.machine());
+        }
+        counters.count(Event.LAUNCH_WITHHELD_STALE_VIEW);
+        return staleness.mayStopCancelled() ? planner.stopsOfCancelledJobs(pending.machine()) : List.of();
+    }
+
+    private void record(Machine machine, Order order) {
+        AttemptId attemptId = order.attemptId();
+        if (order instanceof Order.Launch) {
+            counters.count(Event.LAUNCH_ORDERED);
+            machine.recordLaunch(attemptId);
+            LOG.debug(
+                    "Ordered launch: job={} task={} attempt={} machine={}",
+                    attemptId.jobId(),
+                    attemptId.task(),
+                    attemptId.attempt(),
+                    machine.name());
+        } else if (order instanceof Order.Stop stop) {
+            counters.count(Event.STOP_ORDERED);
+            LOG.debug(
+                    "Ordered stop: job={} task={} attempt={} machine={} graceS={}",
+                    attemptId.jobId(),
+                    attemptId.task(),
+                    attemptId.attempt(),
+                    machine.name(),
+                    stop.graceS());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -0,0 +1,150 @@
+package org.spoolline.worker;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalDouble;
+import org.spoolline.cluster.Machine;
+import org.spoolline.cluster.TaskStatus;
+import org.spoolline.config.Constants;
+import org.spoolline.job.JobTable;
+import org.spoolline.metrics.Counters;
+import org.spoolline.metrics.Event;
+import org.spoolline.pipeline.Attempt;
+import org.spoolline.pipeline.AttemptId;
+import org.spoolline.reconcile.DesiredState;
+
+/**
+ * Computes the orders for a machine: the difference between the attempts that are stored for its incarnation and the
+ * tasks that its last heartbeat lists. It keeps no state and records nothing but withheld launches; whoever sends the
+ * orders records them. Runs once per heartbeat, so it uses plain loops.
+ */
+final class OrderPlanner {
+    private final JobTable jobs;
+    private final DesiredState desiredState;
+    private final Counters counters;
+
+    OrderPlanner(JobTable jobs, DesiredState desiredState, Counters counters) {
+        this.jobs = jobs;
+        this.desiredState = desiredState;
+        this.counters = counters;
+    }
+
+    /** All orders that the machine needs now, stops and clears before launches. Needs a fresh view of the jobs. */
+    List<Order> ordersFor(Machine machine) {
+        Map<AttemptId, Attempt> stored = jobs.attemptsOn(machine.name());
+        List<Order> orders = new ArrayList<>();
+        addStopsAndClears(machine, stored, orders);
+        addLaunches(machine, stored, orders);
+        return orders;
+    }
+
+    /**
+     * Stops of the tasks whose jobs are known to be cancelled. These are right however old the view of the jobs is,
+     * since nothing undoes a cancellation.
+     */
+    List<Order> stopsOfCancelledJobs(Machine machine) {
+        List<Order> orders = new ArrayList<>();
+        for (Map.Entry<AttemptId, TaskStatus> listed : machine.tasks().entrySet()) {
+            JobTable.Entry job = jobs.get(listed.getKey().jobId());
+            if (listed.getValue().phase() != TaskStatus.Phase.EXITED && job != null && job.cancelled()) {
+                orders.add(new Order.Stop(listed.getKey(), 0));
+            }
+        }
+        return orders;
+    }
+
+    /** True when an attempt is stored for the machine's incarnation that its last heartbeat does not list. */
+    boolean hasUnlistedAttempt(Machine machine) {
+        for (Map.Entry<AttemptId, Attempt> entry :
+                jobs.attemptsOn(machine.name()).entrySet()) {
+            if (isUnlisted(machine, entry.getKey(), entry.getValue())) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** True when the machine's last heartbeat lists a stored attempt as exited, so that capacity becomes free. */
+    boolean listsExitOfStoredAttempt(Machine machine) {
+        Map<AttemptId, Attempt> stored = jobs.attemptsOn(machine.name());
+        for (Map.Entry<AttemptId, TaskStatus> listed : machine.tasks().entrySet()) {
+            if (listed.getValue().phase() == TaskStatus.Phase.EXITED && stored.containsKey(listed.getKey())) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private void addStopsAndClears(Machine machine, Map<AttemptId, Attempt> stored, List<Order> orders) {
+        for (Map.Entry<AttemptId, TaskStatus> listed : machine.tasks().entrySet()) {
+            AttemptId attemptId = listed.getKey();
+            TaskStatus.Phase phase = listed.getValue().phase();
+            Attempt attempt = stored.get(attemptId);
+            boolean isStored = attempt != null && attempt.incarnation() == machine.incarnation();
+            if (phase == TaskStatus.Phase.EXITED) {
+                if (!isStored) {
+                    orders.add(new Order.Clear(attemptId));
+                }
+                continue;
+            }
+            OptionalDouble graceS = isStored ? stopGraceS(attemptId, attempt) : OptionalDouble.of(0);
+            if (graceS.isPresent() && !isStoppingGracefully(phase, graceS.getAsDouble())) {
+                orders.add(new Order.Stop(attemptId, graceS.getAsDouble()));
+            }
+        }
+    }
+
+    private static boolean isStoppingGracefully(TaskStatus.Phase phase, double graceS) {
+        return phase == TaskStatus.Phase.SAVING_CHECKPOINT && graceS > 0;
+    }
+
+    private void addLaunches(Machine machine, Map<AttemptId, Attempt> stored, List<Order> orders) {
+        for (Map.Entry<AttemptId, Attempt> entry : stored.entrySet()) {
+            AttemptId attemptId = entry.getKey();
+            if (orders.size() < Constants.Heartbeat.MAX_ORDERS
+                    && isUnlisted(machine, attemptId, entry.getValue())
+                    && stopGraceS(attemptId, entry.getValue()).isEmpty()
+                    && mayLaunch(attemptId)
+                    && !runsOtherAttempt(machine, attemptId)) {
+                orders.add(new Order.Launch(attemptId));
+            }
+        }
+    }
+
+    private static boolean isUnlisted(Machine machine, AttemptId attemptId, Attempt attempt) {
+        return attempt.incarnation() == machine.incarnation()
+                && !machine.tasks().containsKey(attemptId);
+    }
+
+    private boolean mayLaunch(AttemptId attemptId) {
+        boolean may = desiredState.mayLaunch(attemptId);
+        if (!may) {
+            counters.count(Event.LAUNCH_WITHHELD_GANG_FETCHING);
+        }
+        return may;
+    }
+
+    /** The grace in seconds with which a stored attempt is to be stopped; empty when it is to run on. */
+    private OptionalDouble stopGraceS(AttemptId attemptId, Attempt attempt) {
+        JobTable.Entry job = jobs.get(attemptId.jobId());
+        if (job == null || job.cancelled() || !job.holdsAttempt(attempt)) {
+            return OptionalDouble.of(0);
+        }
+        Double graceS = desiredState.graceOf(attemptId);
+        return graceS == null ? OptionalDouble.empty() : OptionalDouble.of(graceS);
+    }
+
+    /** True when the machine still runs an earlier attempt of the same task. */
+    private static boolean runsOtherAttempt(Machine machine, AttemptId attemptId) {
+        for (TaskStatus status : machine.tasks().values()) {
+            if (status.task() == attemptId.task()
+                    && status.jobId().equals(attemptId.jobId())
+                    && status.attempt() != attemptId.attempt()
+                    && status.phase() != TaskStatus.Phase.EXITED) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- /dev/null
+++ b/src/test/java/org/spoolline/worker/HeartbeatCodecTest.java
@@ -0,0 +1,194 @@
+package org.spoolline.worker;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.spoolline.cluster.Heartbeat;
+import org.spoolline.cluster.TaskStatus;
+
+/** The wire form of heartbeats: what each field becomes, and which bytes are no heartbeat at all. */
+class HeartbeatCodecTest {
+    private static final String MACHINE = "\"spooler\":\"m-1\",\"addr\":\"m-1:9\",\"build\":\"small\",\"yard\":\"a\"";
+    private static final String NUMBERS = "\"shift\":2,\"tick\":3,\"baton\":4";
+
+    /** The heartbeat, or null when it is none. */
+    private static Heartbeat decode(String body) {
+        return HeartbeatCodec.decode(body.getBytes(StandardCharsets.UTF_8)).orElse(null);
+    }
+
+    private static Heartbeat withTask(String task) {
+        return decode("{" + MACHINE + "," + NUMBERS + ",\"slips\":[" + task + "]}");
+    }
+
+    private static TaskStatus onlyTask(String task) {
+        Heartbeat heartbeat = withTask(task);
+        assertNotNull(heartbeat, task);
+        assertEquals(1, heartbeat.tasks().size(), task);
+        return heartbeat.tasks().get(0);
+    }
+
+    @Test
+    void everyFieldIsRead() {
+        Heartbeat heartbeat = decode("{" + MACHINE + ",\"standby\":true," + NUMBERS + ",\"recallS\":30.5,\"slips\":["
+                + "{\"slip\":\"run-1/7\",\"try\":8,\"status\":\"exited\",\"cause\":\"halted\",\"kept\":true},"
+                + "{\"slip\":\"run/2/0\",\"try\":1,\"status\":\"running\"}]}");
+        assertEquals("m-1", heartbeat.machine());
+        assertEquals("m-1:9", heartbeat.address());
+        assertEquals("small", heartbeat.type());
+        assertEquals("a", heartbeat.zone());
+        assertEquals(true, heartbeat.spot());
+        assertEquals(2, heartbeat.incarnation());
+        assertEquals(3, heartbeat.number());
+        assertEquals(4, heartbeat.token());
+        assertEquals(30.5, heartbeat.interruptionNoticeS());
+        assertEquals(
+                List.of(
+                        new TaskStatus("run-1", 7, 8, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.STOPPED, true),
+                        new TaskStatus("run/2", 0, 1, TaskStatus.Phase.RUNNING, null, false)),
+                heartbeat.tasks());
+    }
+
+    @Test
+    void onlyTheMachineAndItsTwoNumbersAreRequired() {
+        Heartbeat heartbeat = decode("{\"spooler\":\"m-1\",\"shift\":0,\"tick\":0}");
+        assertEquals("", heartbeat.address());
+        assertEquals("", heartbeat.type());
+        assertEquals("", heartbeat.zone());
+        assertFalse(heartbeat.spot());
+        assertEquals(0, heartbeat.token());
+        assertNull(heartbeat.interruptionNoticeS());
+        assertEquals(List.of(), heartbeat.tasks());
+    }
+
+    @Test
+    void unknownFieldsAreSkippedWhateverTheyHold() {
+        Heartbeat heartbeat = decode("{\"odd\":{\"slips\":[{}]}," + MACHINE + ",\"odd2\":[1,[2]]," + NUMBERS + "}");
+        assertEquals("m-1", heartbeat.machine());
+        assertEquals(3, heartbeat.number());
+        TaskStatus task =
+                onlyTask("{\"odd\":[{}],\"slip\":\"run-1/0\",\"odd2\":{\"try\":9},\"try\":2,\"status\":\"pulling\"}");
+        assertEquals(2, task.attempt());
+    }
+
+    @Test
+    void aNoticeMayBeNull() {
+        assertNull(decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":null}").interruptionNoticeS());
+        assertEquals(
+                0.0, decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":0}").interruptionNoticeS());
+    }
+
+    /** A later field of a name replaces an earlier one; lists of tasks add up. */
+    @Test
+    void repeatedFields() {
+        String task = "{\"slip\":\"run-1/0\",\"try\":1,\"status\":\"running\"}";
+        Heartbeat heartbeat = decode(
+                "{" + MACHINE + "," + NUMBERS + ",\"tick\":9,\"slips\":[" + task + "],\"slips\":[" + task + "]}");
+        assertEquals(9, heartbeat.number());
+        assertEquals(2, heartbeat.tasks().size());
+    }
+
+    @Test
+    void everyPhase() {
+        List<String> words = List.of("pulling", "gathering", "running", "flushing", "exited");
+        for (TaskStatus.Phase phase : TaskStatus.Phase.values()) {
+            String word = words.get(phase.ordinal());
+            assertEquals(
+                    phase,
+                    onlyTask("{\"slip\":\"j/0\",\"status\":\"" + word + "\"}").phase());
+        }
+    }
+
+    @Test
+    void everyReasonAndAnUnknownOneIsAFailure() {
+        List<String> words = List.of("done", "halted", "mates_gone", "alone", "error", "no_room", "in_use", "unknown");
+        for (TaskStatus.ExitReason reason : TaskStatus.ExitReason.values()) {
+            String task = "{\"slip\":\"j/0\",\"status\":\"exited\",\"cause\":\"" + words.get(reason.ordinal()) + "\"}";
+            assertEquals(reason, onlyTask(task).exitReason());
+        }
+        for (String cause : List.of("\"odd\"", "null", "7", "\"\"")) {
+            assertEquals(
+                    TaskStatus.ExitReason.FAILED,
+                    onlyTask("{\"slip\":\"j/0\",\"status\":\"exited\",\"cause\":" + cause + "}")
+                            .exitReason(),
+                    cause);
+        }
+    }
+
+    @Test
+    void aReasonCountsOnlyOnceTheTaskHasExited() {
+        assertNull(onlyTask("{\"slip\":\"j/0\",\"status\":\"running\",\"cause\":\"done\"}")
+                .exitReason());
+    }
+
+    @Test
+    void bytesThatAreNoHeartbeat() {
+        for (String body : List.of(
+                "",
+                "odd",
+                "null",
+                "[]",
+                "7",
+                "{}",
+                "{",
+                "{" + MACHINE + "," + NUMBERS,
+                "{" + MACHINE + "," + NUMBERS + ",\"slips\":[",
+                "{" + MACHINE + "," + NUMBERS + ",\"slips\":[7]}",
+                "{" + NUMBERS + "}",
+                "{\"spooler\":\"\"," + NUMBERS + "}",
+                "{\"spooler\":null," + NUMBERS + "}",
+                "{" + MACHINE + ",\"shift\":2}",
+                "{" + MACHINE + ",\"tick\":3}",
+                "{" + MACHINE + ",\"shift\":-1,\"tick\":3}",
+                "{" + MACHINE + ",\"shift\":2,\"tick\":-1}",
+                "{" + MACHINE + ",\"shift\":\"odd\",\"tick\":3}",
+                "{" + MACHINE + ",\"shift\":[2],\"tick\":3}")) {
+            assertNull(decode(body), body);
+        }
+    }
+
+    @Test
+    void aTaskThatCannotBeReadMakesItNoHeartbeat() {
+        for (String task : List.of(
+                "{}",
+                "{\"slip\":\"j/0\"}",
+                "{\"status\":\"running\"}",
+                "{\"slip\":\"j/0\",\"status\":\"odd\"}",
+                "{\"slip\":\"j/0\",\"status\":null}",
+                "{\"slip\":\"j\",\"status\":\"running\"}",
+                "{\"slip\":\"j/\",\"status\":\"running\"}",
+                "{\"slip\":\"j/odd\",\"status\":\"running\"}",
+                "{\"slip\":\"j/99999999999\",\"status\":\"running\"}",
+                "{\"slip\":null,\"status\":\"running\"}")) {
+            assertNull(withTask(task), task);
+        }
+    }
+
+    /** An object where a plain value belongs ends the heartbeat early; it counts if all it needs came before. */
+    @Test
+    void anObjectInPlaceOfAPlainValueEndsTheHeartbeat() {
+        assertNull(decode("{\"addr\":{}," + MACHINE + "," + NUMBERS + "}"));
+        assertEquals(
+                "m-1",
+                decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":{}}").machine());
+        assertNull(decode("{" + MACHINE + ",\"shift\":2,\"baton\":[],\"tick\":3}"));
+    }
+
+    @Test
+    void numbersAsTextAndListsOfTasksThatAreNone() {
+        assertEquals(
+                3, decode("{" + MACHINE + ",\"shift\":\"2\",\"tick\":\"3\"}").number());
+        assertEquals(
+                List.of(),
+                decode("{" + MACHINE + "," + NUMBERS + ",\"slips\":[]}").tasks());
+        assertEquals(
+                List.of(),
+                decode("{" + MACHINE + "," + NUMBERS + ",\"slips\":{}}").tasks());
+        assertNull(decode("{" + MACHINE + "," + NUMBERS + ",\"slips\":7}"));
+        assertNull(decode("{" + MACHINE + ",\"slips\":null," + NUMBERS + "}"));
+    }
+}
