--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -21,7 +21,9 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 import org.spoolline.peer.PeerService;
+import org.spoolline.scheduler.CycleListener;
 import org.spoolline.scheduler.Scheduler;
+import org.spoolline.scheduler.SchedulerContext;
 import org.spoolline.upgrade.VersionRegistry;
 import org.spoolline.worker.HeartbeatService;
 
@@ -59,9 +61,12 @@
         jobApi = new JobApi(loop, settings, store, catalog, versions, this::cancelled);
         staleness = new StalenessBound(loop, settings, election);
         MachineRegistry machines = new MachineRegistry();
-        scheduler =
-                new Scheduler(loop, settings, store, election, staleness, catalog, machines, jobs, counters, stalls);
-        autoscaler = new Autoscaler(loop, http, settings, election, catalog, machines, scheduler::requestCycle);
+        autoscaler = new Autoscaler(loop, http, settings, election, catalog, machines, this::requestCycle);
+        scheduler = new Scheduler(
+                new SchedulerContext(
+                        loop, settings, store, election, staleness, catalog, machines, jobs, counters, stalls),
+                autoscaler,
+                new WorkerOrders());
         heartbeatService = new HeartbeatService(
                 loop,
                 http,
@@ -73,18 +78,6 @@
                 scheduler,
                 scheduler::machineChanged,
                 counters);
-        scheduler.connect(autoscaler, new Scheduler.CycleListener() {
-            @Override
-            public void jobsLoaded() {
-                heartbeatService.setReady(true);
-            }
-
-            @Override
-            public void valuesWritten(boolean settled, Set<String> withNews) {
-                heartbeatService.releaseHeldResponses(settled);
-                heartbeatService.requestEarlyHeartbeats(withNews);
-            }
-        });
         peerService = new PeerService(loop, http, settings, store, election, new PeerService.Local() {
             @Override
             public void handle(Http.Request request, Consumer<Http.Response> answer) {
@@ -103,6 +96,30 @@
         });
     }
 
+    private void requestCycle() {
+        scheduler.requestCycle();
+    }
+
+    /** Passes the results of scheduling cycles on to the workers. */
+    private final class WorkerOrders implements CycleListener {
+        @Override
+        public void jobsLoaded() {
+            heartbeatService.setReady(true);
+        }
+
+        @Override
+        public void ordersChanged(Set<String> machines) {
+            heartbeatService.releaseHeldResponses(false);
+            heartbeatService.requestEarlyHeartbeats(machines);
+        }
+
+        @Override
+        public void ordersComplete(Set<String> machines) {
+            heartbeatService.releaseHeldResponses(true);
+            heartbeatService.requestEarlyHeartbeats(machines);
+        }
+    }
+
     /** A cancellation was confirmed here: its tasks are to end, whoever leads. */
     private void cancelled(String jobId) {
         jobs.markCancelled(jobId);
--- a/src/main/java/org/spoolline/scheduler/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/scheduler/AttemptReconciler.java
@@ -4,7 +4,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.spoolline.cluster.Machine;
@@ -34,8 +33,7 @@
     private final MachineTypeCatalog catalog;
     private final MachineRegistry machines;
     private final Reservations reservations;
-    /** Machines that have new orders since the last cycle told so. */
-    private final Set<String> machinesWithNewOrders;
+    private final OrderNotifier notifier;
 
     private TerminationProof terminationProof;
     /** The grace in seconds with which attempts are to end, by job. */
@@ -49,13 +47,13 @@
             MachineTypeCatalog catalog,
             MachineRegistry machines,
             Reservations reservations,
-            Set<String> withNews) {
+            OrderNotifier notifier) {
         this.loop = loop;
         this.settings = settings;
         this.catalog = catalog;
         this.machines = machines;
         this.reservations = reservations;
-        this.machinesWithNewOrders = withNews;
+        this.notifier = notifier;
     }
 
     /** Forgets everything of an earlier term; {@code newEvidence} counts for the present one. */
@@ -116,7 +114,7 @@
                     || stopForEviction(spec, machine, attempt, now)
                     || graceOf(AttemptId.of(now.jobId(), attempt)) != null;
             if (now.cancelled() && finding.verdict() == TerminationProof.Verdict.ALIVE) {
-                machinesWithNewOrders.add(attempt.machine());
+                notifier.add(attempt.machine());
             }
             switch (finding.verdict()) {
                 case EXITED -> {
@@ -211,7 +209,7 @@
     }
 
     private void stop(String jobId, Attempt attempt, double grace) {
-        machinesWithNewOrders.add(attempt.machine());
+        notifier.add(attempt.machine());
         stop(AttemptId.of(jobId, attempt), grace);
     }
 
--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/CommitListener.java
@@ -0,0 +1,86 @@
+package org.spoolline.scheduler;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.job.JobTable;
+import org.spoolline.job.TerminalRecord;
+import org.spoolline.pipeline.Attempt;
+import org.spoolline.pipeline.Pipeline;
+
+/** Updates the leader's tables by what becomes of the writes that a cycle has sent. */
+final class CommitListener implements PipelineWriter.Listener {
+    private static final Logger LOG = LoggerFactory.getLogger(CommitListener.class);
+
+    private final JobTable jobs;
+    private final DependencyTracker dependencies;
+    private final AttemptReconciler reconciler;
+    private final GangLaunchOrder gangLaunches;
+    private final Reservations reservations;
+    private final DirtyAttempts dirtyAttempts;
+    private final OrderNotifier notifier;
+    private final Runnable requestCycle;
+
+    CommitListener(
+            JobTable jobs,
+            DependencyTracker dependencies,
+            AttemptReconciler reconciler,
+            GangLaunchOrder gangLaunches,
+            Reservations reservations,
+            DirtyAttempts dirtyAttempts,
+            OrderNotifier notifier,
+            Runnable requestCycle) {
+        this.jobs = jobs;
+        this.dependencies = dependencies;
+        this.reconciler = reconciler;
+        this.gangLaunches = gangLaunches;
+        this.reservations = reservations;
+        this.dirtyAttempts = dirtyAttempts;
+        this.notifier = notifier;
+        this.requestCycle = requestCycle;
+    }
+
+    @Override
+    public void sent(PendingWrite write) {
+        dirtyAttempts.unmark(write.jobId());
+    }
+
+    @Override
+    public void applied(PendingWrite write, long revision) {
+        Pipeline next = write.next();
+        Pipeline before = write.entry().committed();
+        for (Attempt attempt : next.attempts()) {
+            if (!before.hasAttempt(attempt)) {
+                notifier.add(attempt.machine());
+            }
+        }
+        if (write.terminal()) {
+            terminated(next, revision);
+        } else {
+            jobs.commitProposed(write.entry(), revision);
+        }
+    }
+
+    private void terminated(Pipeline job, long revision) {
+        String jobId = job.jobId();
+        LOG.info("Job reached a terminal state: job={} state={}", jobId, job.succeeded() ? "done" : "cancelled");
+        jobs.remove(jobId, revision);
+        dependencies.recorded(jobId, TerminalRecord.of(job));
+        reconciler.forget(jobId);
+        gangLaunches.forget(jobId);
+        reservations.forget(jobId);
+    }
+
+    /** What was decided is not stored, so all of the job's attempts are to be reconciled again. */
+    @Override
+    public void abandoned(JobTable.Entry entry) {
+        dirtyAttempts.mark(entry.committed().jobId(), entry.committed().attempts());
+    }
+
+    @Override
+    public void transactionDecided(boolean applied) {
+        if (applied) {
+            notifier.notifyOrdersChanged();
+        }
+        requestCycle.run();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/JobStepper.java
@@ -0,0 +1,97 @@
+package org.spoolline.scheduler;
+
+import java.util.Collection;
+import org.spoolline.config.Constants;
+import org.spoolline.job.JobTable;
+import org.spoolline.net.EventLoop;
+import org.spoolline.pipeline.Attempt;
+import org.spoolline.pipeline.Pipeline;
+
+/** The part of a scheduling cycle that steps each job by its dependencies and by what is proven about its attempts. */
+final class JobStepper {
+    private final EventLoop loop;
+    private final JobTable jobs;
+    private final DependencyTracker dependencies;
+    private final AttemptReconciler reconciler;
+    private final DirtyAttempts dirtyAttempts;
+    private long lastFullReconcileAt;
+
+    JobStepper(
+            EventLoop loop,
+            JobTable jobs,
+            DependencyTracker dependencies,
+            AttemptReconciler reconciler,
+            DirtyAttempts dirtyAttempts) {
+        this.loop = loop;
+        this.jobs = jobs;
+        this.dependencies = dependencies;
+        this.reconciler = reconciler;
+        this.dirtyAttempts = dirtyAttempts;
+    }
+
+    /** Begins a term: the first full reconciliation is due one interval from now. */
+    void begin() {
+        lastFullReconcileAt = loop.now();
+    }
+
+    /** Steps every live job. */
+    CycleState stepAll() {
+        boolean fullReconcile = startFullReconcileIfDue();
+        CycleState state = new CycleState();
+        for (JobTable.Entry entry : jobs.entries()) {
+            step(entry, fullReconcile, state);
+        }
+        return state;
+    }
+
+    /** The passing of time is a proof too (of lease expiry), and no heartbeat marks it: every attempt has its turn. */
+    private boolean startFullReconcileIfDue() {
+        boolean due = loop.now() - lastFullReconcileAt >= Constants.Cycle.FULL_RECONCILE_MS;
+        if (due) {
+            lastFullReconcileAt = loop.now();
+        }
+        return due;
+    }
+
+    private void step(JobTable.Entry entry, boolean fullReconcile, CycleState state) {
+        if (entry.inFlight()) {
+            state.addJob(entry.proposed());
+        } else if (entry.committed().hasUnsatisfiedDependencies() && !entry.cancelled()) {
+            stepByDependencies(entry, state);
+        } else {
+            reconcile(entry, fullReconcile, state);
+        }
+    }
+
+    private void stepByDependencies(JobTable.Entry entry, CycleState state) {
+        if (dependencies.verdictOf(entry.committed()) == DependencyTracker.Verdict.UNSATISFIED) {
+            return;
+        }
+        Pipeline next = dependencies.step(entry.committed());
+        state.addJob(next);
+        state.addWrite(entry, next);
+    }
+
+    private void reconcile(JobTable.Entry entry, boolean fullReconcile, CycleState state) {
+        Pipeline committed = entry.committed();
+        String jobId = committed.jobId();
+        Collection<Attempt> due =
+                fullReconcile || needsFullReconcile(entry) ? committed.attempts() : dirtyAttempts.get(jobId);
+        Pipeline next = due.isEmpty() && !committed.cancelled() ? null : reconciler.tryReconcile(entry, due);
+        if (next == null) {
+            state.addJob(committed);
+            dirtyAttempts.unmark(jobId);
+        } else {
+            state.addJob(next);
+            state.addWrite(entry, next);
+            dirtyAttempts.mark(jobId, due);
+        }
+    }
+
+    /** A gang and a job with attempts to be stopped depend on more than the status of single attempts. */
+    private boolean needsFullReconcile(JobTable.Entry entry) {
+        return entry.committed().spec().gang()
+                || entry.cancelled()
+                || reconciler.stopping(entry.committed().jobId());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/MachineEvictions.java
@@ -0,0 +1,72 @@
+package org.spoolline.scheduler;
+
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.cluster.MachineRegistry;
+import org.spoolline.config.Constants;
+import org.spoolline.net.EventLoop;
+
+/** Starts what a plan has decided about machines that tasks have to leave: preemption and consolidation. */
+final class MachineEvictions {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineEvictions.class);
+
+    private final EventLoop loop;
+    private final MachineRegistry machines;
+    private final Reservations reservations;
+    private final AttemptReconciler reconciler;
+    private final OrderNotifier notifier;
+    private long lastConsolidationAt;
+
+    MachineEvictions(
+            EventLoop loop,
+            MachineRegistry machines,
+            Reservations reservations,
+            AttemptReconciler reconciler,
+            OrderNotifier notifier) {
+        this.loop = loop;
+        this.machines = machines;
+        this.reservations = reservations;
+        this.reconciler = reconciler;
+        this.notifier = notifier;
+    }
+
+    /** Begins a term: the first consolidation is due one interval from now. */
+    void begin() {
+        lastConsolidationAt = loop.now();
+    }
+
+    /** True when the tasks of machines evacuated earlier have had the time to move. */
+    boolean mayConsolidate() {
+        return loop.now() - lastConsolidationAt >= Constants.Placement.CONSOLIDATION_INTERVAL_MS;
+    }
+
+    /** Starts the plan's preemptions and evacuations. */
+    void start(PlacementPlanner.Plan plan) {
+        startPreemptions(plan.preemptions());
+        startEvacuation(plan.evacuated());
+    }
+
+    private void startPreemptions(List<PlacementPlanner.Preemption> preemptions) {
+        for (PlacementPlanner.Preemption preemption : preemptions) {
+            reservations.reserve(preemption);
+            preemption.machines().forEach(notifier::add);
+            preemption.evicted().forEach(reconciler::stop);
+            LOG.info(
+                    "Preempting: job={} machines={} evicted={}",
+                    preemption.jobId(),
+                    preemption.machines(),
+                    preemption.evicted().size());
+        }
+    }
+
+    private void startEvacuation(Set<String> evacuated) {
+        if (evacuated.isEmpty()) {
+            return;
+        }
+        lastConsolidationAt = loop.now();
+        LOG.info("Consolidating: evacuated={}", evacuated.size());
+        evacuated.forEach(name -> machines.get(name).evacuate());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/OrderNotifier.java
@@ -0,0 +1,41 @@
+package org.spoolline.scheduler;
+
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.Set;
+
+/** Collects the machines that have new orders and notifies the {@link CycleListener} of them. */
+final class OrderNotifier {
+    private final CycleListener listener;
+    private final Set<String> machinesWithNewOrders = new HashSet<>();
+
+    OrderNotifier(CycleListener listener) {
+        this.listener = listener;
+    }
+
+    /** Forgets the machines of an earlier term. */
+    void clear() {
+        machinesWithNewOrders.clear();
+    }
+
+    /** Records that the machine has new orders; the listener is notified later. */
+    void add(String machine) {
+        machinesWithNewOrders.add(machine);
+    }
+
+    /** Notifies the listener while writes are pending. */
+    void notifyOrdersChanged() {
+        listener.ordersChanged(takeMachines());
+    }
+
+    /** Notifies the listener after every decision was written. */
+    void notifyOrdersComplete() {
+        listener.ordersComplete(takeMachines());
+    }
+
+    private Set<String> takeMachines() {
+        Set<String> taken = new LinkedHashSet<>(machinesWithNewOrders);
+        machinesWithNewOrders.clear();
+        return taken;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/scheduler/PendingWrite.java
@@ -0,0 +1,22 @@
+package org.spoolline.scheduler;
+
+import org.spoolline.job.JobTable;
+import org.spoolline.pipeline.Pipeline;
+
+/**
+ * A job's value that a scheduling cycle has changed and that is to be stored.
+ *
+ * @param entry the job as it is committed
+ * @param next  the value that is to replace the committed one
+ */
+record PendingWrite(JobTable.Entry entry, Pipeline next) {
+    /** The job's id. */
+    String jobId() {
+        return next.jobId();
+    }
+
+    /** True when the job reaches a terminal state: its terminal record takes the place of the live value. */
+    boolean terminal() {
+        return next.succeeded() || next.cancelledWithoutAttempts();
+    }
+}
--- a/src/main/java/org/spoolline/scheduler/PipelineWriter.java
+++ b/src/main/java/org/spoolline/scheduler/PipelineWriter.java
@@ -32,18 +32,6 @@
     /** Rank of a change that was refused before: last, so that it keeps nobody from being written. */
     private static final int ISOLATED = 5;
 
-    /** A value to be rewritten in this cycle. */
-    record PendingWrite(JobTable.Entry entry, Pipeline next) {
-        String jobId() {
-            return next.jobId();
-        }
-
-        /** True when the lasting record of the job takes the live value's place. */
-        boolean terminal() {
-            return next.succeeded() || next.cancelledWithoutAttempts();
-        }
-    }
-
     /** A change with what is to be stored for it: the live value, or the lasting record of a job that is over. */
     private record Write(PendingWrite change, ObjectNode value) {}
 
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -2,6 +2,7 @@
 
 import java.util.Collection;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
@@ -18,6 +19,8 @@
     private final EventLoop loop;
     private final JobTable jobs;
     private final Map<String, Reservation> byJob = new LinkedHashMap<>();
+    /** Gangs for which machines with their image were cleared: once each, so that none waits for long. */
+    private final Set<String> gangsPreemptedForImage = new HashSet<>();
 
     private record Reservation(PlacementPlanner.Preemption preemption, long until) {
         Reservation with(String machine, long atLeastUntil) {
@@ -35,13 +38,28 @@
         this.jobs = jobs;
     }
 
+    /** Forgets the reservations of an earlier term. */
     void clear() {
         byJob.clear();
+        gangsPreemptedForImage.clear();
+    }
+
+    /** Forgets what is remembered of a job for as long as it lives, now that it is in a terminal state. */
+    void forget(String jobId) {
+        gangsPreemptedForImage.remove(jobId);
+    }
+
+    /** Gangs for which machines with their image were cleared in this term. */
+    Set<String> gangsPreemptedForImage() {
+        return gangsPreemptedForImage;
     }
 
     /** Reserves the machines of a clearing for its job. */
     void reserve(PlacementPlanner.Preemption preemption) {
         byJob.put(preemption.jobId(), new Reservation(preemption, loop.now() + Constants.Placement.RESERVATION_MS));
+        if (preemption.forImageLocality()) {
+            gangsPreemptedForImage.add(preemption.jobId());
+        }
     }
 
     /** Reserves one machine more for a job, for at least so long. */
