--- a/src/main/java/org/spoolline/reconcile/package-info.java
+++ b/src/main/java/org/spoolline/reconcile/package-info.java
@@ -1,2 +1,2 @@
-/** Reconciliation of stored attempts with heartbeats: proof of termination, and the state that is wanted. */
+/** Reconciliation of stored attempts with heartbeats: proofs of termination, and the desired state of machines. */
 package org.spoolline.reconcile;
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
@@ -13,8 +13,8 @@
 import org.spoolline.job.JobTable;
 import org.spoolline.net.EventLoop;
 import org.spoolline.pipeline.Attempt;
-import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
+import org.spoolline.reconcile.TaskPhases;
 
 /** Builds the input of a plan from the leader's tables. */
 final class ClusterSnapshotBuilder {
@@ -23,21 +23,18 @@
     private final MachineTypeCatalog catalog;
     private final MachineRegistry machines;
     private final JobTable jobs;
-    private final AttemptReconciler reconciler;
+    private final TaskPhases phases;
     private final Reservations reservations;
     private final DependencyTracker dependencies;
 
     ClusterSnapshotBuilder(
-            SchedulerContext context,
-            AttemptReconciler reconciler,
-            Reservations reservations,
-            DependencyTracker dependencies) {
+            SchedulerContext context, TaskPhases phases, Reservations reservations, DependencyTracker dependencies) {
         this.loop = context.loop();
         this.settings = context.settings();
         this.catalog = context.catalog();
         this.machines = context.machines();
         this.jobs = context.jobs();
-        this.reconciler = reconciler;
+        this.phases = phases;
         this.reservations = reservations;
         this.dependencies = dependencies;
     }
@@ -97,8 +94,7 @@
 
     private boolean allMembersWait(Pipeline gang) {
         for (Attempt attempt : gang.attempts()) {
-            AttemptId attemptId = AttemptId.of(gang.jobId(), attempt);
-            if (reconciler.phase(attemptId, attempt) != TaskStatus.Phase.WAITING_FOR_GANG) {
+            if (phases.lastReported(gang.jobId(), attempt) != TaskStatus.Phase.WAITING_FOR_GANG) {
                 return false;
             }
         }
--- a/src/main/java/org/spoolline/scheduler/CommitListener.java
+++ b/src/main/java/org/spoolline/scheduler/CommitListener.java
@@ -6,6 +6,7 @@
 import org.spoolline.job.TerminalRecord;
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.Pipeline;
+import org.spoolline.reconcile.AttemptReconciler;
 
 /** Updates the leader's tables by what becomes of the writes that a cycle has sent. */
 final class CommitListener implements PipelineWriter.Listener {
@@ -50,7 +51,7 @@
         Pipeline before = write.entry().committed();
         for (Attempt attempt : next.attempts()) {
             if (!before.hasAttempt(attempt)) {
-                notifier.add(attempt.machine());
+                notifier.ordersChanged(attempt.machine());
             }
         }
         if (write.terminal()) {
--- a/src/main/java/org/spoolline/scheduler/GangLaunchOrder.java
+++ b/src/main/java/org/spoolline/scheduler/GangLaunchOrder.java
@@ -7,50 +7,56 @@
 import org.spoolline.job.JobTable;
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.AttemptId;
+import org.spoolline.reconcile.TaskPhases;
 
 /**
- * The order in which a gang's tasks are launched. One that finds its image at hand would wait for the others and give up
- * after gang_wait_s, which a fetch can exceed; it is launched once all who fetch have their image.
+ * The order in which a gang's tasks are launched. A task whose machine has the image would wait for the others and give up
+ * after gang_wait_s, which a fetch can exceed; so it is launched once all members that fetch have their image.
  */
 final class GangLaunchOrder {
     private final JobTable jobs;
-    private final AttemptReconciler reconciler;
-    /** Gang tasks whose machine has the image, while others of the gang have to fetch it, by job. */
-    private final Map<String, Set<AttemptId>> afterPeers = new HashMap<>();
+    private final TaskPhases phases;
+    /** Gang tasks whose machine has the image, which are launched after the others, by job. */
+    private final Map<String, Set<AttemptId>> launchedLast = new HashMap<>();
 
-    GangLaunchOrder(JobTable jobs, AttemptReconciler reconciler) {
+    GangLaunchOrder(JobTable jobs, TaskPhases phases) {
         this.jobs = jobs;
-        this.reconciler = reconciler;
+        this.phases = phases;
     }
 
-    /** A new term knows of no order. */
+    /** Forgets the gangs of an earlier term. */
     void clear() {
-        afterPeers.clear();
+        launchedLast.clear();
     }
 
-    /** The gang was placed; these of its tasks have their image at hand. */
-    void launchAfterPeers(String jobId, Set<AttemptId> imageAtHand) {
-        afterPeers.put(jobId, imageAtHand);
+    /** Records a placed gang: these of its tasks are on machines that have the image. */
+    void launchAfterPeers(String jobId, Set<AttemptId> withImage) {
+        launchedLast.put(jobId, withImage);
     }
 
-    /** The gang is over. */
+    /** Forgets a gang that has reached a terminal state. */
     void forget(String jobId) {
-        afterPeers.remove(jobId);
+        launchedLast.remove(jobId);
     }
 
-    /** False while the task had better not be launched yet. */
+    /** False while the task is not to be launched yet, because members without their image are still fetching it. */
     boolean mayLaunch(AttemptId attemptId) {
-        Set<AttemptId> late = afterPeers.get(attemptId.jobId());
-        JobTable.Entry entry = jobs.get(attemptId.jobId());
-        if (late == null || entry == null || !late.contains(attemptId)) {
+        Set<AttemptId> withImage = launchedLast.get(attemptId.jobId());
+        if (withImage == null || !withImage.contains(attemptId)) {
             return true;
         }
-        for (Attempt attempt : entry.committed().attempts()) {
-            AttemptId other = AttemptId.of(attemptId.jobId(), attempt);
-            if (!late.contains(other) && reconciler.phase(other, attempt) == TaskStatus.Phase.FETCHING_IMAGE) {
-                return false;
+        JobTable.Entry entry = jobs.get(attemptId.jobId());
+        return entry == null || !anyFetchesImage(entry, withImage);
+    }
+
+    private boolean anyFetchesImage(JobTable.Entry gang, Set<AttemptId> withImage) {
+        String jobId = gang.committed().jobId();
+        for (Attempt attempt : gang.committed().attempts()) {
+            if (!withImage.contains(AttemptId.of(jobId, attempt))
+                    && phases.lastReported(jobId, attempt) == TaskStatus.Phase.FETCHING_IMAGE) {
+                return true;
             }
         }
-        return true;
+        return false;
     }
 }
--- a/src/main/java/org/spoolline/scheduler/JobStepper.java
+++ b/src/main/java/org/spoolline/scheduler/JobStepper.java
@@ -1,11 +1,13 @@
 package org.spoolline.scheduler;
 
 import java.util.Collection;
+import java.util.Optional;
 import org.spoolline.config.Constants;
 import org.spoolline.job.JobTable;
 import org.spoolline.net.EventLoop;
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.Pipeline;
+import org.spoolline.reconcile.AttemptReconciler;
 
 /** The part of a scheduling cycle that steps each job by its dependencies and by what is proven about its attempts. */
 final class JobStepper {
@@ -77,14 +79,14 @@
         String jobId = committed.jobId();
         Collection<Attempt> due =
                 fullReconcile || needsFullReconcile(entry) ? committed.attempts() : dirtyAttempts.get(jobId);
-        Pipeline next = due.isEmpty() && !committed.cancelled() ? null : reconciler.tryReconcile(entry, due);
-        if (next == null) {
-            state.addJob(committed);
-            dirtyAttempts.unmark(jobId);
-        } else {
-            state.addJob(next);
-            state.addWrite(entry, next);
+        boolean unaffected = due.isEmpty() && !committed.cancelled();
+        Optional<Pipeline> next = unaffected ? Optional.empty() : reconciler.tryReconcile(committed, due);
+        state.addJob(next.orElse(committed));
+        if (next.isPresent()) {
+            state.addWrite(entry, next.get());
             dirtyAttempts.mark(jobId, due);
+        } else {
+            dirtyAttempts.unmark(jobId);
         }
     }
 
--- a/src/main/java/org/spoolline/scheduler/MachineEvictions.java
+++ b/src/main/java/org/spoolline/scheduler/MachineEvictions.java
@@ -7,6 +7,7 @@
 import org.spoolline.cluster.MachineRegistry;
 import org.spoolline.config.Constants;
 import org.spoolline.net.EventLoop;
+import org.spoolline.reconcile.AttemptReconciler;
 
 /** Starts what a plan has decided about machines that tasks have to leave: preemption and consolidation. */
 final class MachineEvictions {
@@ -51,7 +52,7 @@
     private void startPreemptions(List<PlacementPlanner.Preemption> preemptions) {
         for (PlacementPlanner.Preemption preemption : preemptions) {
             reservations.reserve(preemption);
-            preemption.machines().forEach(notifier::add);
+            preemption.machines().forEach(notifier::ordersChanged);
             preemption.evicted().forEach(reconciler::stop);
             LOG.info(
                     "Preempting: job={} machines={} evicted={}",
--- a/src/main/java/org/spoolline/scheduler/OrderNotifier.java
+++ b/src/main/java/org/spoolline/scheduler/OrderNotifier.java
@@ -3,9 +3,10 @@
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import org.spoolline.reconcile.OrderListener;
 
 /** Collects the machines that have new orders and notifies the {@link CycleListener} of them. */
-final class OrderNotifier {
+final class OrderNotifier implements OrderListener {
     private final CycleListener listener;
     private final Set<String> machinesWithNewOrders = new HashSet<>();
 
@@ -18,8 +19,9 @@
         machinesWithNewOrders.clear();
     }
 
-    /** Records that the machine has new orders; the listener is notified later. */
-    void add(String machine) {
+    /** Records the machine; the cycle listener is notified later. */
+    @Override
+    public void ordersChanged(String machine) {
         machinesWithNewOrders.add(machine);
     }
 
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -7,15 +7,15 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.BiConsumer;
 import org.spoolline.config.Constants;
 import org.spoolline.job.JobTable;
 import org.spoolline.net.EventLoop;
-import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
+import org.spoolline.reconcile.MachineReservations;
+import org.spoolline.reconcile.StopRequests;
 
 /** Machines that take work of one job only, for a bounded time: cleared for it, or kept for a gang that has its image there. */
-final class Reservations {
+final class Reservations implements MachineReservations {
     private final EventLoop loop;
     private final JobTable jobs;
     private final Map<String, Reservation> byJob = new LinkedHashMap<>();
@@ -62,9 +62,9 @@
         }
     }
 
-    /** Reserves one machine more for a job, for at least so long. */
-    void keep(String jobId, String machine, long forMs) {
-        long until = loop.now() + forMs;
+    @Override
+    public void keep(String jobId, String machine, long durationMs) {
+        long until = loop.now() + durationMs;
         Reservation kept = byJob.getOrDefault(
                 jobId, new Reservation(new PlacementPlanner.Preemption(jobId, Set.of(), Map.of(), false), until));
         byJob.put(jobId, kept.with(machine, until));
@@ -88,12 +88,12 @@
         byJob.values().forEach(r -> names.addAll(r.preemption().machines()));
     }
 
-    /** Calls for each attempt of the job that has to leave a reserved machine, with its grace in seconds. */
-    void forEachEvicted(String jobId, BiConsumer<AttemptId, Double> action) {
-        for (Reservation r : byJob.values()) {
-            r.preemption().evicted().forEach((attemptId, grace) -> {
+    @Override
+    public void requestStops(String jobId, StopRequests stops) {
+        for (Reservation reservation : byJob.values()) {
+            reservation.preemption().evicted().forEach((attemptId, graceS) -> {
                 if (attemptId.jobId().equals(jobId)) {
-                    action.accept(attemptId, grace);
+                    stops.request(attemptId, graceS);
                 }
             });
         }
--- a/src/main/java/org/spoolline/scheduler/Scheduler.java
+++ b/src/main/java/org/spoolline/scheduler/Scheduler.java
@@ -1,5 +1,6 @@
 package org.spoolline.scheduler;
 
+import java.util.OptionalDouble;
 import org.spoolline.autoscaler.Autoscaler;
 import org.spoolline.cluster.Machine;
 import org.spoolline.cluster.MachineRegistry;
@@ -14,7 +15,9 @@
 import org.spoolline.metrics.StallMonitor;
 import org.spoolline.net.EventLoop;
 import org.spoolline.pipeline.AttemptId;
+import org.spoolline.reconcile.AttemptReconciler;
 import org.spoolline.reconcile.DesiredState;
+import org.spoolline.reconcile.TaskPhases;
 import org.spoolline.reconcile.TerminationProof;
 
 /**
@@ -74,7 +77,8 @@
         notifier = new OrderNotifier(listener);
         reservations = new Reservations(loop, jobs);
         reconciler = new AttemptReconciler(loop, settings, context.catalog(), machines, reservations, notifier);
-        gangLaunches = new GangLaunchOrder(jobs, reconciler);
+        TaskPhases phases = new TaskPhases(machines);
+        gangLaunches = new GangLaunchOrder(jobs, phases);
         ImageTracker images = new ImageTracker(context.catalog(), jobs);
         dirtyAttempts = new DirtyAttempts(jobs, images);
         dependencies = new DependencyTracker(loop, context.store(), jobs, this::requestCycle);
@@ -93,7 +97,7 @@
         stepper = new JobStepper(loop, jobs, dependencies, reconciler, dirtyAttempts);
         launches = new LaunchPreparer(context, gangLaunches, images);
         evictions = new MachineEvictions(loop, machines, reservations, reconciler, notifier);
-        ClusterSnapshotBuilder snapshots = new ClusterSnapshotBuilder(context, reconciler, reservations, dependencies);
+        ClusterSnapshotBuilder snapshots = new ClusterSnapshotBuilder(context, phases, reservations, dependencies);
         planner = new CyclePlanner(snapshots, launches, evictions, counters);
         CapacityScaler scaler = new CapacityScaler(loop, jobs, reservations, autoscaler);
         cycle = new SchedulingCycle(
@@ -144,7 +148,7 @@
         dependencies.begin(NO_TERM);
         jobWatcher.beginTerm(NO_TERM);
         jobs.clear();
-        reconciler.begin(null);
+        reconciler.end();
     }
 
     /** Time alone can change what is proven, so a cycle runs at least once in a fixed time. */
@@ -178,7 +182,7 @@
     }
 
     @Override
-    public Double graceOf(AttemptId attemptId) {
+    public OptionalDouble graceOf(AttemptId attemptId) {
         return reconciler.graceOf(attemptId);
     }
 
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -376,7 +376,8 @@
         if (entry == null || entry.cancelled() || !entry.holdsAttempt(attempt)) {
             return 0.0;
         }
-        return desiredState.graceOf(attemptId);
+        var graceS = desiredState.graceOf(attemptId);
+        return graceS.isPresent() ? Double.valueOf(graceS.getAsDouble()) : null;
     }
 
     private static boolean noOtherAttempt(Machine machine, AttemptId wanted) {
