--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -131,8 +131,7 @@
         if (job == null || job.cancelled() || !job.holdsAttempt(attempt)) {
             return OptionalDouble.of(0);
         }
-        Double graceS = desiredState.graceOf(attemptId);
-        return graceS == null ? OptionalDouble.empty() : OptionalDouble.of(graceS);
+        return desiredState.graceOf(attemptId);
     }
 
     /** True when the machine still runs an earlier attempt of the same task. */
