--- a/src/main/java/org/spoolline/api/JobApi.java
+++ b/src/main/java/org/spoolline/api/JobApi.java
@@ -17,7 +17,9 @@
 import org.spoolline.job.LruJobCache;
 import org.spoolline.job.StoredJob;
 import org.spoolline.job.TerminalRecord;
+import org.spoolline.kvstore.CommitOutcome;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
@@ -181,7 +183,7 @@
         }
         String jobId = pipeline.jobId();
         long sent = loop.now();
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .requireVersion(JobKeys.live(jobId), 0)
                 .requireVersion(JobKeys.terminal(jobId), 0)
                 .put(JobKeys.live(jobId), pipeline.encode());
@@ -274,14 +276,13 @@
             batch.forEach(p -> rateLimited(p.answer()));
             return;
         }
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction();
+        Transaction transaction = new Transaction();
         batch.forEach(p ->
                 transaction.requireVersion(JobKeys.live(p.jobId()), p.known().version()));
         store.commit(transaction, result -> {
             Set<String> changed = Set.copyOf(result.failedKeys());
             for (Poll poll : batch) {
-                if (result.outcome() != KeyValueStoreClient.CommitOutcome.APPLIED
-                        && result.outcome() != KeyValueStoreClient.CommitOutcome.CONFLICT) {
+                if (result.outcome() != CommitOutcome.APPLIED && result.outcome() != CommitOutcome.CONFLICT) {
                     unavailable(poll.answer());
                 } else if (changed.contains(JobKeys.live(poll.jobId()))) {
                     live.remove(poll.jobId());
@@ -312,11 +313,11 @@
                 rateLimited(answer);
                 return;
             }
-            KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+            Transaction transaction = new Transaction()
                     .requireVersion(JobKeys.live(jobId), stored.version())
                     .put(JobKeys.live(jobId), cancelledValue(pipeline));
             store.commit(transaction, result -> {
-                if (result.outcome() == KeyValueStoreClient.CommitOutcome.APPLIED) {
+                if (result.outcome() == CommitOutcome.APPLIED) {
                     LOG.info("cancelled {}", jobId);
                     confirmCancelled(jobId, answer);
                 } else if (triedAgain(result.outcome()) && tries > 1) {
@@ -340,9 +341,8 @@
     }
 
     /** A newer value was met, or announced limits were found to be in force: another try fares better. */
-    private static boolean triedAgain(KeyValueStoreClient.CommitOutcome fate) {
-        return fate == KeyValueStoreClient.CommitOutcome.CONFLICT
-                || fate == KeyValueStoreClient.CommitOutcome.TOO_LARGE;
+    private static boolean triedAgain(CommitOutcome fate) {
+        return fate == CommitOutcome.CONFLICT || fate == CommitOutcome.TOO_LARGE;
     }
 
     private void confirmCancelled(String jobId, Consumer<Http.Response> answer) {
--- a/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
@@ -8,6 +8,7 @@
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
@@ -87,8 +88,7 @@
 
     /** Stored once for nodes that start while the cloud is down; what it holds is fixed but for prices. */
     private void store(JsonNode answer) {
-        KeyValueStoreClient.Transaction transaction =
-                new KeyValueStoreClient.Transaction().requireVersion(KEY, 0).put(KEY, answer);
+        Transaction transaction = new Transaction().requireVersion(KEY, 0).put(KEY, answer);
         if (store.tryAcquire(1)) {
             store.commit(transaction, result -> {});
         }
--- a/src/main/java/org/spoolline/election/LeaderElection.java
+++ b/src/main/java/org/spoolline/election/LeaderElection.java
@@ -7,7 +7,11 @@
 import org.slf4j.LoggerFactory;
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
+import org.spoolline.kvstore.CommitOutcome;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.LeaseRenewal;
+import org.spoolline.kvstore.Transaction;
+import org.spoolline.kvstore.WatchEvent;
 import org.spoolline.metrics.Counters;
 import org.spoolline.metrics.Event;
 import org.spoolline.net.EventLoop;
@@ -201,9 +205,8 @@
         }
         store.watch(LEADER_KEY, version, Constants.Election.LEADER_WATCH_MS, watched -> {
             if (watched.answered() && !watched.events().isEmpty()) {
-                KeyValueStoreClient.WatchEvent last =
-                        watched.events().get(watched.events().size() - 1);
-                if (last.value() != null) {
+                WatchEvent last = watched.events().get(watched.events().size() - 1);
+                if (!last.isDeletion()) {
                     followLeader(last.value(), last.version());
                     return;
                 }
@@ -221,7 +224,7 @@
         campaigning = true;
         long sent = loop.now();
         store.createLease(settings.leadershipMs(), fresh -> {
-            if (fresh == 0) {
+            if (fresh.isEmpty()) {
                 campaigning = false;
                 loop.after(Constants.Time.RETRY_MS, this::readLeaderKey);
                 return;
@@ -235,7 +238,7 @@
                 }
                 long next =
                         read.value().exists() ? read.value().value().path("n").asLong() + 1 : 1;
-                elect(fresh, sent, next, read.value().version(), held);
+                elect(fresh.getAsLong(), sent, next, read.value().version(), held);
             });
         });
     }
@@ -245,7 +248,7 @@
                 .put("node", settings.node())
                 .put("addr", settings.internalAddress())
                 .put("token", next);
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .requireVersion(LEADER_KEY, held)
                 .requireVersion(TOKEN_KEY, tokenVersion)
                 .put(TOKEN_KEY, Json.object().put("n", next))
@@ -253,8 +256,8 @@
         store.acquireWithDebt(2);
         store.commit(transaction, result -> {
             campaigning = false;
-            if (result.outcome() != KeyValueStoreClient.CommitOutcome.APPLIED) {
-                boolean lost = result.outcome() == KeyValueStoreClient.CommitOutcome.CONFLICT;
+            if (result.outcome() != CommitOutcome.APPLIED) {
+                boolean lost = result.outcome() == CommitOutcome.CONFLICT;
                 counters.count(lost ? Event.ELECTION_LOST : Event.ELECTION_UNANSWERED);
                 // An election without an answer may have been applied: the key then names us, with nobody leading.
                 loop.after(lost ? 0 : Constants.Time.RETRY_MS, this::readLeaderKey);
@@ -303,19 +306,19 @@
     private void renew(long mine) {
         renewing = true;
         long sent = loop.now();
-        store.renewLease(lease, status -> {
+        store.renewLease(lease, renewal -> {
             if (!leading || fencingToken != mine) {
                 return;
             }
             renewing = false;
-            if (status == 200) {
+            if (renewal == LeaseRenewal.RENEWED) {
                 validUntil = Math.max(validUntil, settings.leadershipEndsAt(sent));
-            } else if (status == 404) {
+            } else if (renewal == LeaseRenewal.EXPIRED) {
                 stepDown("its lease has ended");
                 return;
             }
             // Any other answer proves nothing: the lease may outlive an outage, and then we still lead.
-            renewAfter(status == 200 ? settings.renewMs() : Constants.Time.RETRY_MS);
+            renewAfter(renewal == LeaseRenewal.RENEWED ? settings.renewMs() : Constants.Time.RETRY_MS);
         });
     }
 }
--- a/src/main/java/org/spoolline/job/JobTable.java
+++ b/src/main/java/org/spoolline/job/JobTable.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.WatchEvent;
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
@@ -19,7 +19,7 @@
         private Pipeline committed;
         private long version;
         private Pipeline proposed;
-        private KeyValueStoreClient.WatchEvent deferred;
+        private WatchEvent deferred;
         private boolean cancellationSeen;
 
         public Pipeline committed() {
@@ -82,7 +82,7 @@
     }
 
     /** A value read or seen by the watch. Older versions than the known one change nothing. */
-    public void observe(KeyValueStoreClient.WatchEvent event, String jobId) {
+    public void observe(WatchEvent event, String jobId) {
         Entry entry = entries.get(jobId);
         if (entry != null && entry.inFlight()) {
             if (entry.deferred == null || entry.deferred.version() < event.version()) {
@@ -147,7 +147,7 @@
     }
 
     private void replayDeferred(Entry entry) {
-        KeyValueStoreClient.WatchEvent held = entry.deferred;
+        WatchEvent held = entry.deferred;
         entry.deferred = null;
         if (held != null) {
             observe(held, entry.committed.jobId());
--- a/src/main/java/org/spoolline/job/JobWatcher.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -5,6 +5,8 @@
 import org.spoolline.config.Constants;
 import org.spoolline.election.StalenessBound;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.VersionedValue;
+import org.spoolline.kvstore.WatchEvent;
 import org.spoolline.metrics.Counters;
 import org.spoolline.metrics.Event;
 import org.spoolline.net.EventLoop;
@@ -75,10 +77,8 @@
                 later(Constants.Time.RETRY_MS, mine, () -> load(mine));
                 return;
             }
-            for (KeyValueStoreClient.VersionedValue item : listing.values()) {
-                jobs.observe(
-                        new KeyValueStoreClient.WatchEvent(item.key(), item.value(), item.version()),
-                        jobId(item.key()));
+            for (VersionedValue item : listing.values()) {
+                jobs.observe(new WatchEvent(item.key(), item.value(), item.version()), jobId(item.key()));
             }
             staleness.completeAsOf(sent);
             counters.count(Event.JOBS_LISTED);
@@ -109,7 +109,7 @@
                 load(mine);
                 return;
             }
-            for (KeyValueStoreClient.WatchEvent event : watched.events()) {
+            for (WatchEvent event : watched.events()) {
                 jobs.observe(event, jobId(event.key()));
             }
             if (!watched.answered()) {
--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
@@ -1,360 +1,189 @@
 package org.spoolline.kvstore;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
-import org.spoolline.net.Json;
-import org.spoolline.net.RateLimiter;
 
-/** The state service by its protocol, with the node's share of its budget. */
+/**
+ * Client of the consensus-backed key-value store, with this node's share of the store's rate limits.
+ *
+ * <p>Every method is called on the event loop, and every callback runs on it exactly once, whether the store answers or
+ * not. Nothing is retried here. Unless a method says otherwise the caller first takes the request from the rate limits,
+ * through {@link #tryAcquire} for work that can wait and {@link #acquireWithDebt} for what leadership depends on.
+ */
 public final class KeyValueStoreClient {
-    private static final Logger LOG = LoggerFactory.getLogger(KeyValueStoreClient.class);
-    /** The protocol's word for a write whose lease has ended. */
-    private static final String NO_SUCH_LEASE = "no such lease";
+    /** Read by probes; any key would do, whether it exists or not. */
+    private static final String PROBE_KEY = "token";
 
-    /** A stored value; version 0 says that the key does not exist. */
-    public record VersionedValue(String key, JsonNode value, long version) {
-        public boolean exists() {
-            return version != 0;
-        }
-    }
-
-    /**
-     * What became of a transaction. UNKNOWN: it may have been applied, or may yet be. All others but APPLIED: this copy
-     * was not. TOO_LARGE: it exceeds a limit of the service, so sent again unchanged it fails again.
-     */
-    public enum CommitOutcome {
-        APPLIED,
-        CONFLICT,
-        REFUSED,
-        LEASE_EXPIRED,
-        TOO_LARGE,
-        UNKNOWN
-    }
-
-    /** A transaction's answer; {@code revision} is that of an applied one. */
-    public record CommitResult(CommitOutcome outcome, long revision, List<String> failedKeys) {}
-
-    /** A transaction under construction. */
-    public static final class Transaction {
-        private final ArrayNode conditions = Json.array();
-        private final ArrayNode writes = Json.array();
-
-        public Transaction requireVersion(String key, long version) {
-            conditions.addObject().put("key", key).put("stamp", version);
-            return this;
-        }
-
-        public Transaction put(String key, JsonNode value) {
-            writes.addObject().put("set", key).set("v", value);
-            return this;
-        }
-
-        public Transaction putWithLease(String key, JsonNode value, long lease) {
-            ObjectNode write = writes.addObject().put("set", key).put("ticket", lease);
-            write.set("v", value);
-            return this;
-        }
-
-        public Transaction delete(String key) {
-            writes.addObject().put("remove", key);
-            return this;
-        }
-
-        public int writeCount() {
-            return writes.size();
-        }
-
-        byte[] body() {
-            ObjectNode body = Json.object();
-            body.set("if", conditions);
-            body.set("writes", writes);
-            return Json.bytes(body);
-        }
-    }
-
-    /** Answer to a read: {@code answered} is false when the service gave none. */
-    public record ReadResult(boolean answered, VersionedValue value) {}
-
-    /** Answer to a listing. */
-    public record ListResult(boolean answered, List<VersionedValue> values, long revision) {}
-
-    /** One change seen by a watch; a null value is a deletion. */
-    public record WatchEvent(String key, JsonNode value, long version) {}
-
-    /** Answer to a watch; {@code compacted} asks for a fresh listing. */
-    public record WatchResult(boolean answered, boolean compacted, List<WatchEvent> events, long revision) {}
-
-    private final EventLoop loop;
-    private final Http.Caller http;
-    private final String address;
-    private final Settings.StoreLimits announcedLimits;
-    private Settings.StoreLimits limits;
-    private final int nodes;
+    private final StoreConnection connection;
+    private final StoreRateLimits rateLimits;
     private final long renewTimeoutMs;
-    private final RateLimiter requestLimiter;
-    private final RateLimiter writeLimiter;
-    private final LatencyLog latencies;
-    /** Requests that a leader keeps from users, so that polls of jobs that don't end can't keep them from ending. */
-    private double reservedForCycles;
-
-    private long lastReached;
-    private boolean everReached;
-    private boolean leader;
 
+    /** A client with a follower's share of the rate limits. */
     public KeyValueStoreClient(EventLoop loop, Http.Caller http, Settings settings) {
-        this.loop = loop;
-        this.http = http;
-        this.address = settings.storeAddress();
-        this.limits = settings.storeLimits();
-        this.announcedLimits = settings.storeLimits().lowestAnnounced();
+        this.connection = new StoreConnection(loop, http, settings.storeAddress());
+        this.rateLimits = new StoreRateLimits(loop, settings);
         this.renewTimeoutMs = settings.renewMs();
-        this.nodes = Math.max(1, settings.controllers());
-        this.requestLimiter = new RateLimiter(1, loop.now());
-        this.writeLimiter = new RateLimiter(1, loop.now());
-        this.latencies = new LatencyLog(loop.now());
-        this.lastReached = loop.now();
-        setLeader(false);
     }
 
     /** The limits that are known to be in force. */
     public Settings.StoreLimits limits() {
-        return limits;
+        return rateLimits.enforced();
     }
 
     /** Bytes that a value written now may have, so that it can still be rewritten once announced limits are in force. */
     public int safeValueBytes() {
-        return announcedLimits.valueBytes();
+        return rateLimits.announced().valueBytes();
     }
 
-    /** The service has refused what the limits known so far allow: the announced ones are in force. */
-    private void enforceAnnouncedLimits() {
-        if (!limits.equals(announcedLimits)) {
-            LOG.info("the state service refuses a transaction for its size: its announced limits are taken");
-            limits = announcedLimits;
-            setLeader(leader);
-        }
+    /** Conditions that one transaction may have. */
+    public int maxConditions() {
+        return limits().txnOps() * Constants.Store.CONDITIONS_PER_WRITE;
     }
 
-    /** Sets this node's share of the budget. */
+    /** Gives this node a leader's or a follower's share of the rate limits. */
     public void setLeader(boolean leading) {
-        leader = leading;
-        double share = nodes == 1
-                ? 1
-                : leader
-                        ? Constants.Store.LEADER_REQUEST_SHARE
-                        : Math.min(Constants.Store.FOLLOWER_REQUEST_SHARE, 1.0 / (nodes - 1));
-        reservedForCycles = leader ? limits.requestsPerS() * Constants.Store.LEADER_REQUEST_RESERVE : 0;
-        requestLimiter.setRate(limits.requestsPerS() * share, loop.now());
-        writeLimiter.setRate(limits.writesPerS() * share, loop.now());
+        rateLimits.setLeader(leading);
     }
 
-    /** True while an answer other than a refusal came lately. */
-    public boolean reachable() {
-        return everReached && loop.now() - lastReached < Constants.Store.STORE_UNREACHABLE_MS;
-    }
-
-    /** Asks for a sign of life when none came lately. */
-    public void probe() {
-        if (loop.now() - lastReached >= Constants.Store.STORE_PROBE_MS || !everReached) {
-            acquireWithDebt(0);
-            get("token", read -> {});
-        }
+    /** Takes one request with so many writes from the rate limits; false, and nothing taken, when they are exhausted. */
+    public boolean tryAcquire(int writes) {
+        return rateLimits.tryAcquire(writes);
     }
 
-    /** Takes budget for one request with so many changes; false: spent, come back later. */
-    public boolean tryAcquire(int writes) {
-        long now = loop.now();
-        if (requestLimiter.available(now) < 1 + reservedForCycles || writeLimiter.available(now) < writes) {
-            return false;
-        }
-        requestLimiter.tryAcquire(1, now);
-        writeLimiter.tryAcquire(writes, now);
-        return true;
+    /** Takes one request with so many writes from the rate limits, into debt if need be: for leadership. */
+    public void acquireWithDebt(int writes) {
+        rateLimits.acquireWithDebt(writes);
     }
 
-    /** True when less than half of the requests that the budget can hold are left. */
+    /** True when less than half of the requests of one second is available to this node. */
     public boolean requestBudgetLow() {
-        return requestLimiter.available(loop.now()) < requestLimiter.ratePerS() / 2;
+        return rateLimits.requestsLow();
     }
 
-    /** Conditions of one transaction at most: the protocol allows four times as many as changes. */
-    public int maxConditions() {
-        return limits.txnOps() * Constants.Store.CONDITIONS_PER_WRITE;
+    /** True when less than half of a leader's writes of one second is available. */
+    public boolean writeBudgetLow() {
+        return rateLimits.writesLow();
     }
 
-    /** Changes that the budget holds right now for work that can wait; a part is kept for users' requests. */
+    /** Writes available now for work that can wait; a part of them is kept for users' requests. */
     public int availableWrites() {
-        double forUsers = limits.writesPerS() * Constants.Store.USER_WRITE_RESERVE;
-        return (int) Math.max(
-                0,
-                Math.min(
-                        writeLimiter.available(loop.now()) - forUsers,
-                        requestLimiter.available(loop.now()) * limits.txnOps()));
+        return rateLimits.availableWrites();
     }
 
-    /** True when less than half of what the budget can hold is left. */
-    public boolean writeBudgetLow() {
-        return availableWrites() < limits.writesPerS() * Constants.Store.LEADER_REQUEST_SHARE / 2;
+    /** True while the store carried out a request that was sent lately. A refusal does not count. */
+    public boolean reachable() {
+        return connection.reachable();
     }
 
-    /** Reads one key; budget is taken by the caller through {@link #tryAcquire}. */
+    /** Sends a read when no other request has shown lately whether the store can be reached. Takes its own request. */
+    public void probe() {
+        if (connection.probeDue()) {
+            acquireWithDebt(0);
+            get(PROBE_KEY, read -> {});
+        }
+    }
+
+    /** Reads one key. */
     public void get(String key, Consumer<ReadResult> done) {
-        send("GET", "/keys/" + key, null, Constants.Store.STORE_TIMEOUT_MS, reply -> {
-            if (reply.ok()) {
-                JsonNode body = Json.read(reply.body());
-                done.accept(new ReadResult(
-                        true,
-                        new VersionedValue(
-                                key, body.path("v"), body.path("stamp").asLong())));
-            } else if (reply.status() == 404) {
-                done.accept(new ReadResult(true, new VersionedValue(key, null, 0)));
-            } else {
-                done.accept(new ReadResult(false, null));
-            }
-        });
+        connection.send(
+                "GET",
+                KeyValueStoreCodec.keyPath(key),
+                null,
+                Constants.Store.STORE_TIMEOUT_MS,
+                reply -> done.accept(KeyValueStoreCodec.decodeRead(key, reply)));
     }
 
-    /** Reads everything under a prefix, page by page. The revision is that of the first page. */
+    /**
+     * Reads all keys under a prefix, page by page; a missing page fails the whole listing. Takes its own requests from the
+     * rate limits.
+     */
     public void list(String prefix, Consumer<ListResult> done) {
-        page(prefix, "", new ArrayList<>(), 0, done);
+        listFrom(prefix, "", new ArrayList<>(), 0, done);
     }
 
-    private void page(
-            String prefix, String after, List<VersionedValue> items, long firstRevision, Consumer<ListResult> done) {
-        requestLimiter.acquireWithDebt(1, loop.now());
-        String path = "/keys?prefix=" + prefix + (after.isEmpty() ? "" : "&after=" + after) + "&most="
-                + Constants.Store.LIST_PAGE;
-        send("GET", path, null, Constants.Store.STORE_TIMEOUT_MS, reply -> {
+    /** Reads the page after a key and all that follow; {@code firstRevision} is 0 while no page has been read. */
+    private void listFrom(
+            String prefix, String afterKey, List<VersionedValue> read, long firstRevision, Consumer<ListResult> done) {
+        rateLimits.acquireReadWithDebt();
+        String path = KeyValueStoreCodec.listPath(prefix, afterKey);
+        connection.send("GET", path, null, Constants.Store.STORE_TIMEOUT_MS, reply -> {
             if (!reply.ok()) {
-                done.accept(new ListResult(false, List.of(), 0));
+                done.accept(ListResult.noAnswer());
                 return;
             }
-            JsonNode body = Json.read(reply.body());
-            long revision = firstRevision == 0 ? body.path("ledger").asLong() : firstRevision;
-            for (JsonNode pair : body.path("pairs")) {
-                items.add(new VersionedValue(
-                        pair.path("key").asText(),
-                        pair.path("v"),
-                        pair.path("stamp").asLong()));
-            }
-            if (body.path("hasNext").asBoolean() && !items.isEmpty()) {
-                page(prefix, items.get(items.size() - 1).key(), items, revision, done);
+            KeyValueStoreCodec.Page page = KeyValueStoreCodec.decodePage(reply);
+            long revision = firstRevision == 0 ? page.revision() : firstRevision;
+            read.addAll(page.values());
+            if (page.last() || read.isEmpty()) {
+                done.accept(ListResult.of(read, revision));
             } else {
-                done.accept(new ListResult(true, items, revision));
+                listFrom(prefix, read.get(read.size() - 1).key(), read, revision, done);
             }
         });
     }
 
-    /** Sends a transaction; budget is taken by the caller through {@link #tryAcquire} or {@link #acquireWithDebt}. */
-    public void commit(Transaction transaction, Consumer<CommitResult> done) {
-        send("POST", "/commit", transaction.body(), Constants.Store.STORE_TIMEOUT_MS, reply -> {
-            JsonNode body = Json.read(reply.body());
-            switch (reply.status()) {
-                case 200 -> done.accept(new CommitResult(
-                        CommitOutcome.APPLIED, body.path("ledger").asLong(), List.of()));
-                case 409 -> {
-                    List<String> failed = new ArrayList<>();
-                    body.path("failed").forEach(f -> failed.add(f.asText()));
-                    done.accept(new CommitResult(CommitOutcome.CONFLICT, 0, failed));
-                }
-                case 400 -> {
-                    boolean noLease = NO_SUCH_LEASE.equals(body.path("error").asText());
-                    if (!noLease) {
-                        enforceAnnouncedLimits();
-                    }
-                    done.accept(new CommitResult(
-                            noLease ? CommitOutcome.LEASE_EXPIRED : CommitOutcome.TOO_LARGE, 0, List.of()));
-                }
-                case 429, 503 -> done.accept(new CommitResult(CommitOutcome.REFUSED, 0, List.of()));
-                default -> done.accept(new CommitResult(CommitOutcome.UNKNOWN, 0, List.of()));
-            }
-        });
+    /**
+     * Waits up to {@code waitMs} for changes under a prefix after a revision. Takes its own request from the rate limits.
+     */
+    public void watch(String prefix, long afterRevision, long waitMs, Consumer<WatchResult> done) {
+        rateLimits.acquireReadWithDebt();
+        connection.sendWatch(
+                KeyValueStoreCodec.watchPath(prefix, afterRevision, waitMs),
+                waitMs + Constants.Store.STORE_TIMEOUT_MS,
+                reply -> done.accept(KeyValueStoreCodec.decodeWatch(afterRevision, reply)));
     }
 
-    /** Takes budget even into debt, for leadership. */
-    public void acquireWithDebt(int writes) {
-        requestLimiter.acquireWithDebt(1, loop.now());
-        writeLimiter.acquireWithDebt(writes, loop.now());
+    /** Sends a transaction once. A rejection for its size puts the announced limits in force. */
+    public void commit(Transaction transaction, Consumer<CommitResult> done) {
+        connection.send(
+                "POST",
+                KeyValueStoreCodec.COMMIT_PATH,
+                KeyValueStoreCodec.encode(transaction),
+                Constants.Store.STORE_TIMEOUT_MS,
+                reply -> {
+                    CommitResult result = KeyValueStoreCodec.decodeCommit(reply);
+                    if (result.outcome() == CommitOutcome.TOO_LARGE) {
+                        rateLimits.enforceAnnounced();
+                    }
+                    done.accept(result);
+                });
     }
 
-    /** Creates a lease; 0 when it failed. */
-    public void createLease(long ttlMs, Consumer<Long> done) {
+    /** Creates a lease; empty when the store refused or gave no answer. Takes its own request from the rate limits. */
+    public void createLease(long ttlMs, Consumer<OptionalLong> done) {
         acquireWithDebt(0);
-        send(
+        connection.send(
                 "POST",
-                "/leases",
-                Json.bytes(Json.object().put("ttlMs", ttlMs)),
+                KeyValueStoreCodec.LEASES_PATH,
+                KeyValueStoreCodec.encodeCreateLease(ttlMs),
                 Constants.Store.STORE_TIMEOUT_MS,
-                reply -> done.accept(
-                        reply.ok() ? Json.read(reply.body()).path("ticket").asLong() : 0L));
+                reply -> done.accept(KeyValueStoreCodec.decodeLease(reply)));
     }
 
-    /** Renews a lease; the answer is the status, 0 for none. */
-    public void renewLease(long lease, Consumer<Integer> done) {
+    /** Renews a lease for its whole time. Takes its own request from the rate limits. */
+    public void renewLease(long lease, Consumer<LeaseRenewal> done) {
         acquireWithDebt(0);
-        send(
+        connection.send(
                 "POST",
-                "/leases/" + lease + "/touch",
-                Json.bytes(Json.object()),
+                KeyValueStoreCodec.renewLeasePath(lease),
+                KeyValueStoreCodec.encodeRenewLease(),
                 renewTimeoutMs,
-                reply -> done.accept(reply.status()));
+                reply -> done.accept(KeyValueStoreCodec.decodeRenewal(reply)));
     }
 
-    /** Ends a lease at once; without an answer it ends by itself. */
+    /**
+     * Ends a lease at once; if the store does not answer, the lease ends with its time. Takes its own request from the
+     * rate limits.
+     */
     public void endLease(long lease) {
         acquireWithDebt(0);
-        send("DELETE", "/leases/" + lease, null, Constants.Store.STORE_TIMEOUT_MS, reply -> {});
-    }
-
-    /** Waits for changes under a prefix after a revision, for so long. */
-    public void watch(String prefix, long after, long waitMs, Consumer<WatchResult> done) {
-        requestLimiter.acquireWithDebt(1, loop.now());
-        send(
-                "GET",
-                "/follow?prefix=" + prefix + "&after=" + after + "&waitMs=" + waitMs,
-                null,
-                waitMs + Constants.Store.STORE_TIMEOUT_MS,
-                reply -> {
-                    if (!reply.ok()) {
-                        done.accept(new WatchResult(false, reply.status() == 410, List.of(), after));
-                        return;
-                    }
-                    JsonNode body = Json.read(reply.body());
-                    List<WatchEvent> seen = new ArrayList<>();
-                    for (JsonNode event : body.path("log")) {
-                        boolean set = event.has("set");
-                        seen.add(new WatchEvent(
-                                event.path(set ? "set" : "remove").asText(),
-                                set ? event.path("v") : null,
-                                event.path("stamp").asLong()));
-                    }
-                    done.accept(new WatchResult(
-                            true, false, seen, body.path("ledger").asLong()));
-                });
-    }
-
-    private void send(String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> done) {
-        long sent = loop.now();
-        http.call(address, method, path, body, timeoutMs, reply -> {
-            if (reply.status() != 0 && reply.status() != 503 && reply.status() != 429) {
-                // A watch answers long after it was sent; it proves the service at the time of the answer.
-                lastReached = Math.max(lastReached, path.startsWith("/follow") ? loop.now() : sent);
-                everReached = true;
-            }
-            if (!path.startsWith("/follow")) {
-                latencies.record(reply.status(), loop.now() - sent, loop.now());
-            }
-            done.accept(reply);
-        });
+        connection.send(
+                "DELETE", KeyValueStoreCodec.leasePath(lease), null, Constants.Store.STORE_TIMEOUT_MS, reply -> {});
     }
 }
--- a/src/main/java/org/spoolline/kvstore/LatencyLog.java
+++ b/src/main/java/org/spoolline/kvstore/LatencyLog.java
@@ -4,42 +4,60 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.spoolline.config.Constants;
+import org.spoolline.net.Http;
 
-/** How long the state service takes to answer, logged once a minute: the first thing to look at in an incident. */
+/**
+ * Logs once a minute how long the key-value store takes to answer: the first thing to look at in an incident. Watches,
+ * which the store answers late on purpose, are not recorded here.
+ */
 final class LatencyLog {
     private static final Logger LOG = LoggerFactory.getLogger(LatencyLog.class);
+    private static final double MEDIAN = 50;
+    private static final double TAIL = 99;
 
-    private final Histogram millis =
+    private final Histogram latenciesMs =
             new Histogram(Constants.Store.STORE_TIMEOUT_MS * 2, Constants.Logging.LATENCY_DIGITS);
     private long refused;
     private long unanswered;
     private long loggedAt;
 
+    /** A log whose first line is due a minute from now. */
     LatencyLog(long now) {
         loggedAt = now;
     }
 
+    /**
+     * Records one request.
+     *
+     * @param status the HTTP status of the answer, that of {@link Http.Reply#NONE} when none came
+     * @param tookMs ms from sending the request to its answer
+     * @param now the event loop's time, in ms
+     */
     void record(int status, long tookMs, long now) {
-        if (status == 0) {
+        if (status == Http.Reply.NONE.status()) {
             unanswered++;
-        } else if (status == 503 || status == 429) {
+        } else if (KeyValueStoreCodec.isRefusal(status)) {
             refused++;
         } else {
-            millis.recordValue(Math.min(tookMs, millis.getHighestTrackableValue()));
+            latenciesMs.recordValue(Math.min(tookMs, latenciesMs.getHighestTrackableValue()));
         }
         if (now - loggedAt >= Constants.Logging.LATENCY_LOG_MS) {
-            LOG.info(
-                    "state service: {} answers, p50 {} ms, p99 {} ms, max {} ms; {} refused, {} without answer",
-                    millis.getTotalCount(),
-                    millis.getValueAtPercentile(50),
-                    millis.getValueAtPercentile(99),
-                    millis.getMaxValue(),
-                    refused,
-                    unanswered);
-            millis.reset();
-            refused = 0;
-            unanswered = 0;
-            loggedAt = now;
+            logAndReset(now);
         }
     }
+
+    private void logAndReset(long now) {
+        LOG.info(
+                "Key-value store latency: answers={} p50_ms={} p99_ms={} max_ms={} refused={} unanswered={}",
+                latenciesMs.getTotalCount(),
+                latenciesMs.getValueAtPercentile(MEDIAN),
+                latenciesMs.getValueAtPercentile(TAIL),
+                latenciesMs.getMaxValue(),
+                refused,
+                unanswered);
+        latenciesMs.reset();
+        refused = 0;
+        unanswered = 0;
+        loggedAt = now;
+    }
 }
--- a/src/main/java/org/spoolline/scheduler/PipelineWriter.java
+++ b/src/main/java/org/spoolline/scheduler/PipelineWriter.java
@@ -15,7 +15,10 @@
 import org.spoolline.job.JobKeys;
 import org.spoolline.job.JobTable;
 import org.spoolline.job.TerminalRecord;
+import org.spoolline.kvstore.CommitOutcome;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
+import org.spoolline.kvstore.WatchEvent;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Json;
 import org.spoolline.pipeline.Pipeline;
@@ -197,8 +200,8 @@
     }
 
     private void send(List<Write> batch, int ops) {
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
-                .requireVersion(LeaderElection.LEADER_KEY, election.leaderKeyVersion());
+        Transaction transaction =
+                new Transaction().requireVersion(LeaderElection.LEADER_KEY, election.leaderKeyVersion());
         for (Write write : batch) {
             PendingWrite change = write.change();
             String jobId = change.jobId();
@@ -218,15 +221,13 @@
     }
 
     /** {@code unsure}: an earlier copy got no answer, so it may have been applied, or may yet be. */
-    private void commit(
-            KeyValueStoreClient.Transaction transaction, List<PendingWrite> batch, int ops, long mine, boolean unsure) {
+    private void commit(Transaction transaction, List<PendingWrite> batch, int ops, long mine, boolean unsure) {
         store.commit(transaction, result -> {
             if (term != mine) {
                 return;
             }
-            KeyValueStoreClient.CommitOutcome fate = result.outcome();
-            if (fate == KeyValueStoreClient.CommitOutcome.UNKNOWN
-                    || unsure && fate == KeyValueStoreClient.CommitOutcome.REFUSED) {
+            CommitOutcome fate = result.outcome();
+            if (fate == CommitOutcome.UNKNOWN || unsure && fate == CommitOutcome.REFUSED) {
                 // The very same one is applied once at most, for its conditions; it is sent until that is decided.
                 LOG.info("no answer to a transaction of {} jobs, sent again", batch.size());
                 later(mine, () -> {
@@ -236,26 +237,26 @@
                 return;
             }
             inFlight--;
-            if (unsure && fate == KeyValueStoreClient.CommitOutcome.TOO_LARGE) {
+            if (unsure && fate == CommitOutcome.TOO_LARGE) {
                 // The limits were lowered after an earlier copy was sent: only the store tells what became of that one.
                 batch.forEach(change -> reread(change, mine));
-            } else if (fate == KeyValueStoreClient.CommitOutcome.APPLIED) {
+            } else if (fate == CommitOutcome.APPLIED) {
                 batch.forEach(change -> isolated.remove(change.jobId()));
                 batch.forEach(change -> listener.applied(change, result.revision()));
-            } else if (fate == KeyValueStoreClient.CommitOutcome.CONFLICT) {
+            } else if (fate == CommitOutcome.CONFLICT) {
                 conflict(batch, result.failedKeys(), mine);
             } else {
                 LOG.info("a transaction of {} jobs was refused: {}", batch.size(), fate);
-                if (fate == KeyValueStoreClient.CommitOutcome.TOO_LARGE && batch.size() == 1) {
+                if (fate == CommitOutcome.TOO_LARGE && batch.size() == 1) {
                     // Sent again unchanged it would be refused for ever; by then some of its tasks may have ended.
                     pausedUntil.put(batch.get(0).jobId(), loop.now() + Constants.Cycle.OVERSIZED_VALUE_BACKOFF_MS);
                 }
-                if (fate != KeyValueStoreClient.CommitOutcome.REFUSED) {
+                if (fate != CommitOutcome.REFUSED) {
                     batch.forEach(change -> isolated.add(change.jobId()));
                 }
                 batch.forEach(change -> abandoned(change.entry()));
             }
-            listener.transactionDecided(fate == KeyValueStoreClient.CommitOutcome.APPLIED);
+            listener.transactionDecided(fate == CommitOutcome.APPLIED);
         });
     }
 
@@ -295,7 +296,7 @@
             abandoned(change.entry());
             if (read.value().exists()) {
                 jobs.observe(
-                        new KeyValueStoreClient.WatchEvent(
+                        new WatchEvent(
                                 JobKeys.live(jobId),
                                 read.value().value(),
                                 read.value().version()),
--- a/src/main/java/org/spoolline/upgrade/VersionRegistry.java
+++ b/src/main/java/org/spoolline/upgrade/VersionRegistry.java
@@ -10,6 +10,7 @@
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Json;
 
@@ -46,7 +47,7 @@
     public void start() {
         String key = VERSIONS + settings.node();
         store.acquireWithDebt(1);
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .requireVersion(key, 0)
                 .put(key, Json.object().put("pipeline", Constants.Job.PIPELINE_VERSION_DEPENDENT));
         store.commit(transaction, result -> {
--- a/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
+++ b/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
@@ -12,6 +12,7 @@
 import org.spoolline.job.JobTable;
 import org.spoolline.job.TerminalRecord;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.WatchEvent;
 import org.spoolline.net.FakeEventLoop;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
@@ -62,7 +63,7 @@
     }
 
     private Pipeline live(Pipeline job) {
-        jobs.observe(new KeyValueStoreClient.WatchEvent("job/" + job.jobId(), job.encode(), 1), job.jobId());
+        jobs.observe(new WatchEvent("job/" + job.jobId(), job.encode(), 1), job.jobId());
         return job;
     }
 
