--- a/src/main/java/org/spoolline/api/CancellationHandler.java
+++ b/src/main/java/org/spoolline/api/CancellationHandler.java
@@ -8,7 +8,9 @@
 import org.spoolline.job.JobKeys;
 import org.spoolline.job.JobReader;
 import org.spoolline.job.StoredJob;
+import org.spoolline.kvstore.CommitOutcome;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 import org.spoolline.pipeline.Pipeline;
@@ -63,11 +65,11 @@
             responder.accept(JobResponseCodec.rateLimited());
             return;
         }
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .requireVersion(JobKeys.live(jobId), live.version())
                 .put(JobKeys.live(jobId), cancelledValue(pipeline));
         store.commit(transaction, result -> {
-            if (result.outcome() == KeyValueStoreClient.CommitOutcome.APPLIED) {
+            if (result.outcome() == CommitOutcome.APPLIED) {
                 LOG.info("Cancelled job: job={}", jobId);
                 confirm(jobId, responder);
             } else if (isWorthRetrying(result.outcome()) && triesLeft > 1) {
@@ -90,9 +92,8 @@
     }
 
     /** True after a concurrent change, and after a commit that showed that lower announced limits are in force. */
-    private static boolean isWorthRetrying(KeyValueStoreClient.CommitOutcome outcome) {
-        return outcome == KeyValueStoreClient.CommitOutcome.CONFLICT
-                || outcome == KeyValueStoreClient.CommitOutcome.TOO_LARGE;
+    private static boolean isWorthRetrying(CommitOutcome outcome) {
+        return outcome == CommitOutcome.CONFLICT || outcome == CommitOutcome.TOO_LARGE;
     }
 
     private void confirm(String jobId, Consumer<Http.Response> responder) {
--- a/src/main/java/org/spoolline/api/StatusBatch.java
+++ b/src/main/java/org/spoolline/api/StatusBatch.java
@@ -6,7 +6,10 @@
 import java.util.function.Consumer;
 import org.spoolline.config.Constants;
 import org.spoolline.job.JobKeys;
+import org.spoolline.kvstore.CommitOutcome;
+import org.spoolline.kvstore.CommitResult;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 
@@ -62,7 +65,7 @@
             batch.forEach(request -> request.responder().accept(JobResponseCodec.rateLimited()));
             return;
         }
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction();
+        Transaction transaction = new Transaction();
         for (Request request : batch) {
             transaction.requireVersion(
                     JobKeys.live(request.jobId()), request.lastStatus().version());
@@ -70,9 +73,8 @@
         store.commit(transaction, result -> respond(batch, result));
     }
 
-    private void respond(List<Request> batch, KeyValueStoreClient.CommitResult result) {
-        if (result.outcome() != KeyValueStoreClient.CommitOutcome.APPLIED
-                && result.outcome() != KeyValueStoreClient.CommitOutcome.CONFLICT) {
+    private void respond(List<Request> batch, CommitResult result) {
+        if (result.outcome() != CommitOutcome.APPLIED && result.outcome() != CommitOutcome.CONFLICT) {
             batch.forEach(request -> request.responder().accept(JobResponseCodec.unavailable()));
             return;
         }
--- a/src/main/java/org/spoolline/api/SubmissionHandler.java
+++ b/src/main/java/org/spoolline/api/SubmissionHandler.java
@@ -7,6 +7,7 @@
 import org.spoolline.config.Constants;
 import org.spoolline.job.JobKeys;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
@@ -131,7 +132,7 @@
         }
         String jobId = pipeline.jobId();
         long sentAt = loop.now();
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .requireVersion(JobKeys.live(jobId), 0)
                 .requireVersion(JobKeys.terminal(jobId), 0)
                 .put(JobKeys.live(jobId), pipeline.encode());
--- a/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
@@ -8,6 +8,7 @@
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
 import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
@@ -101,8 +102,7 @@
 
     /** Stores the reply once for nodes that start while the cloud is unreachable; all but prices in it is constant. */
     private void store(JsonNode reply) {
-        KeyValueStoreClient.Transaction transaction =
-                new KeyValueStoreClient.Transaction().requireVersion(KEY, 0).put(KEY, reply);
+        Transaction transaction = new Transaction().requireVersion(KEY, 0).put(KEY, reply);
         if (store.tryAcquire(1)) {
             store.commit(transaction, result -> {});
         }
--- a/src/main/java/org/spoolline/scheduler/EncodedWrite.java
+++ b/src/main/java/org/spoolline/scheduler/EncodedWrite.java
@@ -4,7 +4,7 @@
 import org.spoolline.config.Constants;
 import org.spoolline.job.JobKeys;
 import org.spoolline.job.TerminalRecord;
-import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 import org.spoolline.net.Json;
 
 /**
@@ -41,7 +41,7 @@
     }
 
     /** Adds the write to a transaction, on condition that the live value has not changed since it was committed. */
-    void addTo(KeyValueStoreClient.Transaction transaction) {
+    void addTo(Transaction transaction) {
         String liveKey = JobKeys.live(write.jobId());
         transaction.requireVersion(liveKey, write.entry().version());
         if (write.terminal()) {
--- a/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
+++ b/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
@@ -8,9 +8,12 @@
 import org.spoolline.election.LeaderElection;
 import org.spoolline.job.JobKeys;
 import org.spoolline.job.JobTable;
+import org.spoolline.kvstore.CommitOutcome;
+import org.spoolline.kvstore.CommitResult;
 import org.spoolline.kvstore.KeyValueStoreClient;
-import org.spoolline.kvstore.KeyValueStoreClient.CommitOutcome;
-import org.spoolline.kvstore.KeyValueStoreClient.CommitResult;
+import org.spoolline.kvstore.Transaction;
+import org.spoolline.kvstore.VersionedValue;
+import org.spoolline.kvstore.WatchEvent;
 import org.spoolline.net.EventLoop;
 
 /**
@@ -21,8 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
 
     /** A transaction that was sent, with the term in which it was; a later term ignores its answer. */
-    private record Sent(
-            KeyValueStoreClient.Transaction transaction, List<PendingWrite> writes, int operations, long term) {}
+    private record Sent(Transaction transaction, List<PendingWrite> writes, int operations, long term) {}
 
     private final EventLoop loop;
     private final KeyValueStoreClient store;
@@ -66,8 +68,8 @@
 
     /** Sends a batch as one transaction. */
     void send(WriteBatch batch) {
-        KeyValueStoreClient.Transaction transaction = new KeyValueStoreClient.Transaction()
-                .requireVersion(LeaderElection.LEADER_KEY, election.leaderKeyVersion());
+        Transaction transaction =
+                new Transaction().requireVersion(LeaderElection.LEADER_KEY, election.leaderKeyVersion());
         batch.addTo(transaction);
         List<PendingWrite> writes = batch.pendingWrites();
         for (PendingWrite write : writes) {
@@ -188,11 +190,10 @@
         });
     }
 
-    private void observe(PendingWrite write, KeyValueStoreClient.VersionedValue stored) {
+    private void observe(PendingWrite write, VersionedValue stored) {
         String jobId = write.jobId();
         if (stored.exists()) {
-            jobs.observe(
-                    new KeyValueStoreClient.WatchEvent(JobKeys.live(jobId), stored.value(), stored.version()), jobId);
+            jobs.observe(new WatchEvent(JobKeys.live(jobId), stored.value(), stored.version()), jobId);
         } else {
             jobs.remove(jobId, write.entry().version());
         }
--- a/src/main/java/org/spoolline/scheduler/WriteBatch.java
+++ b/src/main/java/org/spoolline/scheduler/WriteBatch.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.spoolline.config.Constants;
-import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.kvstore.Transaction;
 
 /** The writes of one transaction. */
 final class WriteBatch {
@@ -49,7 +49,7 @@
     }
 
     /** Adds all writes to a transaction. */
-    void addTo(KeyValueStoreClient.Transaction transaction) {
+    void addTo(Transaction transaction) {
         for (EncodedWrite write : writes) {
             write.addTo(transaction);
         }
