--- a/src/main/java/org/spoolline/pipeline/AttemptsCodec.java
+++ b/src/main/java/org/spoolline/pipeline/AttemptsCodec.java
@@ -3,8 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.ArrayList;
-import java.util.Base64;
-import java.util.BitSet;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,218 +13,185 @@
 
 /**
  * The stored form of attempts, dense enough for an array whose tasks are scattered over a thousand machines. A place is
- * a machine, session and attempt number; places come in sections of machines that are named alike (a prefix and so many
- * digits), each place a few bits for its distance from the one before. Then come the tasks in their order: a few bits
- * for the distance, and the place's index unless it is the one of the task before. Bits are stored in Base64.
+ * what the attempts of one machine share: the machine, its incarnation and the attempt number. The form is one array:
+ *
+ * <ol>
+ *   <li>a section for each group of places whose machines are named alike: an array of the names' prefix, their count of
+ *       digits (0 if none), the count of places, and bits: for each place the number in the machine's name as the distance
+ *       to that of the place before, its incarnation less 1, and by how much its attempt number is below the highest one;
+ *   <li>the count of attempts;
+ *   <li>bits for each attempt in the order of tasks: the distance of the task to the one that follows the task before; a
+ *       set bit where the place is that of the attempt before, else a clear bit and the place's index over all sections, in
+ *       as many bits as tell all places apart.
+ * </ol>
+ *
+ * <p>Numbers are in Elias gamma code ({@link BitWriter#writeNumber}), bits in Base64. Sections and their places are sorted,
+ * so the same attempts are always stored the same.
  */
 final class AttemptsCodec {
-    private static final int DIGITS_MOST = 9;
-
-    /** A machine's name as a prefix and a number of so many digits; with 0 digits all of it is the prefix. */
-    private record Name(String prefix, int digits, int number) {
-        static Name of(String machine) {
-            int at = machine.length();
-            while (at > 0
-                    && machine.length() - at < DIGITS_MOST
-                    && machine.charAt(at - 1) >= '0'
-                    && machine.charAt(at - 1) <= '9') {
-                at--;
-            }
-            return at == machine.length()
-                    ? new Name(machine, 0, 0)
-                    : new Name(
-                            machine.substring(0, at), machine.length() - at, Integer.parseInt(machine.substring(at)));
-        }
+    /** Positions in a section's array. */
+    private static final int SECTION_PREFIX = 0;
 
-        boolean alike(Name other) {
-            return prefix.equals(other.prefix) && digits == other.digits;
-        }
+    private static final int SECTION_DIGITS = 1;
+    private static final int SECTION_PLACES = 2;
+    private static final int SECTION_BITS = 3;
 
-        /** Written out, see {@link Attempt#equals}. */
-        @Override
-        public boolean equals(Object other) {
-            return other instanceof Name n && number == n.number && alike(n);
-        }
-
-        @Override
-        public int hashCode() {
-            return (prefix.hashCode() * 31 + digits) * 31 + number;
-        }
-
-        static String text(String prefix, int digits, long number) {
-            String figures = digits == 0 ? "" : Long.toString(number);
-            return prefix + "0".repeat(Math.max(0, digits - figures.length())) + figures;
-        }
-    }
-
-    private record Place(Name name, String machine, long session, long number) {
+    /** What attempts on one machine share; the machine's name is kept beside its parts to be hashed cheaply. */
+    private record Place(MachineName name, String machine, long incarnation, long number) {
         static Place of(Attempt attempt) {
-            return new Place(Name.of(attempt.machine()), attempt.machine(), attempt.incarnation(), attempt.number());
+            return new Place(
+                    MachineName.parse(attempt.machine()), attempt.machine(), attempt.incarnation(), attempt.number());
         }
 
         /** Written out, see {@link Attempt#equals}. */
         @Override
         public boolean equals(Object other) {
-            return other instanceof Place p && session == p.session && number == p.number && name.equals(p.name);
+            return other instanceof Place place
+                    && incarnation == place.incarnation
+                    && number == place.number
+                    && name.equals(place.name);
         }
 
         @Override
         public int hashCode() {
-            return ((name.hashCode() * 31 + machine.hashCode()) * 31 + Long.hashCode(session)) * 31
+            return ((name.hashCode() * 31 + machine.hashCode()) * 31 + Long.hashCode(incarnation)) * 31
                     + Long.hashCode(number);
         }
     }
 
-    private static final Comparator<Place> ORDER = Comparator.comparing(
-                    (Place p) -> p.name().prefix())
-            .thenComparingInt(p -> p.name().digits())
-            .thenComparingInt(p -> p.name().number())
-            .thenComparingLong(Place::session)
+    private static final Comparator<Place> PLACE_ORDER = Comparator.comparing(
+                    (Place place) -> place.name().prefix())
+            .thenComparingInt(place -> place.name().digits())
+            .thenComparingInt(place -> place.name().number())
+            .thenComparingLong(Place::incarnation)
             .thenComparingLong(Place::number);
 
     private AttemptsCodec() {}
 
-    /** {@code last} is a number that no attempt's exceeds: numbers are stored by their distance to it. */
-    static ArrayNode encode(Collection<Attempt> attempts, long last) {
-        Map<Attempt, Place> placeOf = new HashMap<>();
-        Map<Place, Integer> index = new HashMap<>();
+    /**
+     * Encodes attempts.
+     *
+     * @param attempts      in any order, one for each task
+     * @param highestNumber a number that no attempt's exceeds
+     */
+    static ArrayNode encode(Collection<Attempt> attempts, long highestNumber) {
         List<Attempt> byTask = new ArrayList<>(attempts);
         byTask.sort(Comparator.comparingInt(Attempt::task));
+        List<Place> placeOfEach = new ArrayList<>(byTask.size());
+        Map<Place, Integer> indexes = new HashMap<>();
         for (Attempt attempt : byTask) {
             Place place = Place.of(attempt);
-            placeOf.put(attempt, place);
-            index.put(place, 0);
-        }
-        List<Place> places = new ArrayList<>(index.keySet());
-        places.sort(ORDER);
-        ArrayNode all = Json.array();
-        for (int at = 0; at < places.size(); ) {
-            Name first = places.get(at).name();
-            Bits bits = new Bits();
-            int before = 0;
-            int from = at;
-            while (at < places.size() && places.get(at).name().alike(first)) {
-                Place place = places.get(at);
-                bits.number(place.name().number() - before);
-                bits.number(place.session() - 1);
-                bits.number(last - place.number());
-                before = place.name().number();
-                index.put(place, at++);
+            placeOfEach.add(place);
+            indexes.put(place, 0);
+        }
+        List<Place> places = new ArrayList<>(indexes.keySet());
+        places.sort(PLACE_ORDER);
+        for (int index = 0; index < places.size(); index++) {
+            indexes.put(places.get(index), index);
+        }
+        ArrayNode stored = Json.array();
+        encodeSections(places, highestNumber, stored);
+        stored.add(byTask.size()).add(encodeTasks(byTask, placeOfEach, indexes));
+        return stored;
+    }
+
+    private static void encodeSections(List<Place> places, long highestNumber, ArrayNode stored) {
+        int start = 0;
+        while (start < places.size()) {
+            MachineName first = places.get(start).name();
+            int end = start;
+            while (end < places.size() && places.get(end).name().isAlike(first)) {
+                end++;
             }
-            all.addArray()
+            stored.addArray()
                     .add(first.prefix())
                     .add(first.digits())
-                    .add(at - from)
-                    .add(bits.text());
-        }
-        int width = width(places.size());
-        Bits bits = new Bits();
-        int next = 0;
-        int here = -1;
-        for (Attempt attempt : byTask) {
-            bits.number(attempt.task() - next);
-            next = attempt.task() + 1;
-            int place = index.get(placeOf.get(attempt));
-            bits.flag(place == here);
-            if (place != here) {
-                bits.fixed(place, width);
-            }
-            here = place;
+                    .add(end - start)
+                    .add(encodePlaces(places.subList(start, end), highestNumber));
+            start = end;
         }
-        all.add(byTask.size()).add(bits.text());
-        return all;
     }
 
-    static void decode(JsonNode stored, long last, Consumer<Attempt> to) {
-        List<Attempt> places = new ArrayList<>();
-        int at = 0;
-        for (; stored.path(at).isArray(); at++) {
-            JsonNode section = stored.path(at);
-            Bits bits = new Bits(section.path(3).asText());
-            long machine = 0;
-            for (int left = section.path(2).asInt(); left > 0; left--) {
-                machine += bits.number();
-                long session = bits.number() + 1;
-                places.add(new Attempt(
-                        0,
-                        last - bits.number(),
-                        Name.text(section.path(0).asText(), section.path(1).asInt(), machine),
-                        session));
-            }
-        }
-        int width = width(places.size());
-        Bits bits = new Bits(stored.path(at + 1).asText());
-        int task = 0;
-        Attempt here = null;
-        for (int left = stored.path(at).asInt(); left > 0; left--) {
-            task += (int) bits.number();
-            if (!bits.flag()) {
-                here = places.get((int) bits.fixed(width));
+    private static String encodePlaces(List<Place> section, long highestNumber) {
+        BitWriter bits = new BitWriter();
+        int previous = 0;
+        for (Place place : section) {
+            int machine = place.name().number();
+            bits.writeNumber(machine - previous);
+            bits.writeNumber(place.incarnation() - 1);
+            bits.writeNumber(highestNumber - place.number());
+            previous = machine;
+        }
+        return bits.toBase64();
+    }
+
+    private static String encodeTasks(List<Attempt> byTask, List<Place> placeOfEach, Map<Place, Integer> indexes) {
+        BitWriter bits = new BitWriter();
+        int indexWidth = indexWidth(indexes.size());
+        int nextTask = 0;
+        int previousIndex = -1;
+        for (int i = 0; i < byTask.size(); i++) {
+            int task = byTask.get(i).task();
+            bits.writeNumber(task - nextTask);
+            nextTask = task + 1;
+            int index = indexes.get(placeOfEach.get(i));
+            bits.writeBit(index == previousIndex);
+            if (index != previousIndex) {
+                bits.writeBits(index, indexWidth);
             }
-            to.accept(new Attempt(task++, here.number(), here.machine(), here.incarnation()));
+            previousIndex = index;
         }
+        return bits.toBase64();
     }
 
-    /** Bits that tell so many places apart. */
-    private static int width(int places) {
-        return 32 - Integer.numberOfLeadingZeros(Math.max(0, places - 1));
+    /**
+     * Decodes attempts.
+     *
+     * @param highestNumber as it was when they were encoded
+     * @param consumer      is given each attempt, in the order of tasks
+     */
+    static void decode(JsonNode stored, long highestNumber, Consumer<Attempt> consumer) {
+        List<Attempt> places = new ArrayList<>();
+        int sections = 0;
+        while (stored.path(sections).isArray()) {
+            decodePlaces(stored.path(sections), highestNumber, places);
+            sections++;
+        }
+        int count = stored.path(sections).asInt();
+        BitReader bits = new BitReader(stored.path(sections + 1).asText());
+        decodeTasks(bits, count, places, consumer);
     }
 
-    /** Bits written one after the other, or read so. */
-    private static final class Bits {
-        private final BitSet bits;
-        private int at;
-
-        Bits() {
-            bits = new BitSet();
-        }
-
-        Bits(String text) {
-            bits = BitSet.valueOf(Base64.getDecoder().decode(text));
-        }
-
-        String text() {
-            return Base64.getEncoder().withoutPadding().encodeToString(bits.toByteArray());
-        }
-
-        void flag(boolean bit) {
-            bits.set(at++, bit);
-        }
-
-        boolean flag() {
-            return bits.get(at++);
-        }
-
-        void fixed(long value, int width) {
-            for (int i = 0; i < width; i++) {
-                flag((value >>> i & 1) == 1);
-            }
-        }
-
-        long fixed(int width) {
-            long value = 0;
-            for (int i = 0; i < width; i++) {
-                value |= flag() ? 1L << i : 0;
-            }
-            return value;
+    /** Adds the section's places, each as the attempt of task 0. */
+    private static void decodePlaces(JsonNode section, long highestNumber, List<Attempt> places) {
+        String prefix = section.path(SECTION_PREFIX).asText();
+        int digits = section.path(SECTION_DIGITS).asInt();
+        BitReader bits = new BitReader(section.path(SECTION_BITS).asText());
+        long machine = 0;
+        for (int left = section.path(SECTION_PLACES).asInt(); left > 0; left--) {
+            machine += bits.readNumber();
+            long incarnation = bits.readNumber() + 1;
+            long number = highestNumber - bits.readNumber();
+            places.add(new Attempt(0, number, MachineName.format(prefix, digits, machine), incarnation));
         }
+    }
 
-        /** A number from 0 in Elias gamma code: small ones, which most are, take a bit or three. */
-        void number(long value) {
-            int width = 63 - Long.numberOfLeadingZeros(value + 1);
-            for (int i = 0; i < width; i++) {
-                flag(true);
+    private static void decodeTasks(BitReader bits, int count, List<Attempt> places, Consumer<Attempt> consumer) {
+        int indexWidth = indexWidth(places.size());
+        int task = 0;
+        Attempt place = null;
+        for (int left = count; left > 0; left--) {
+            task += (int) bits.readNumber();
+            if (!bits.readBit()) {
+                place = places.get((int) bits.readBits(indexWidth));
             }
-            flag(false);
-            fixed(value + 1, width);
+            consumer.accept(new Attempt(task, place.number(), place.machine(), place.incarnation()));
+            task++;
         }
+    }
 
-        long number() {
-            int width = 0;
-            while (flag()) {
-                width++;
-            }
-            return (1L << width | fixed(width)) - 1;
-        }
+    /** Bits that tell so many places apart. */
+    private static int indexWidth(int places) {
+        return Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(0, places - 1));
     }
 }
