--- a/src/main/java/org/spoolline/pipeline/Submission.java
+++ b/src/main/java/org/spoolline/pipeline/Submission.java
@@ -1,12 +1,24 @@
 package org.spoolline.pipeline;
 
 import java.util.List;
+import java.util.OptionalDouble;
 import java.util.Set;
 
 /**
- * What a user asked for, checked. {@code machineTypes} is null for any machine type, {@code zone} for any zone.
+ * What a user asked for, checked: see {@link SubmissionCodec} for its wire form and the checks.
  *
- * @param dependencies ids of the jobs that must be done before any task of this one starts, each once
+ * @param jobId            identifies the job, chosen by the user
+ * @param jobClass         the kind of work, for statistics of the users
+ * @param team             the team whose quota and fair share it counts against
+ * @param shape            how its tasks belong together
+ * @param priority         how urgent it is
+ * @param tasks            number of tasks, from 1
+ * @param resources        what each task takes of its machine
+ * @param placement        where tasks may run
+ * @param estimateS        seconds that a task is expected to run
+ * @param checkpointPolicy how tasks save their progress
+ * @param deadlineS        seconds from the submission by which the job should be done; empty for no deadline
+ * @param dependencies     ids of the jobs that must succeed before any task of this one starts, each once
  */
 public record Submission(
         String jobId,
@@ -15,20 +27,11 @@
         Shape shape,
         Priority priority,
         int tasks,
-        double cores,
-        double accelerators,
-        double memoryGb,
-        String image,
-        double imageGb,
-        Set<String> machineTypes,
-        String zone,
-        boolean singleZone,
-        boolean spreadAcrossZones,
-        boolean allowsSpot,
+        TaskResources resources,
+        PlacementConstraints placement,
         double estimateS,
-        double checkpointIntervalS,
-        double checkpointSaveS,
-        Double deadlineS,
+        CheckpointPolicy checkpointPolicy,
+        OptionalDouble deadlineS,
         List<String> dependencies) {
 
     /** Independent tasks; tasks that run together or not at all; tasks kept running until the user cancels. */
@@ -46,11 +49,7 @@
         CRITICAL
     }
 
-    public boolean gang() {
-        return shape == Shape.GANG;
-    }
-
-    /** The same job without prerequisites, once they are all done. */
+    /** The same job without dependencies, once they have all succeeded. */
     Submission withoutDependencies() {
         return new Submission(
                 jobId,
@@ -59,46 +58,103 @@
                 shape,
                 priority,
                 tasks,
-                cores,
-                accelerators,
-                memoryGb,
-                image,
-                imageGb,
-                machineTypes,
-                zone,
-                singleZone,
-                spreadAcrossZones,
-                allowsSpot,
+                resources,
+                placement,
                 estimateS,
-                checkpointIntervalS,
-                checkpointSaveS,
+                checkpointPolicy,
                 deadlineS,
                 List.of());
     }
 
-    /** A task that saves its progress when it is stopped with enough grace. */
+    /** True for gang scheduling: the tasks run together or not at all. */
+    public boolean gang() {
+        return shape == Shape.GANG;
+    }
+
+    /** Processor cores of each task. */
+    public double cores() {
+        return resources.cores();
+    }
+
+    /** Accelerators of each task. */
+    public double accelerators() {
+        return resources.accelerators();
+    }
+
+    /** Memory of each task in GB. */
+    public double memoryGb() {
+        return resources.memoryGb();
+    }
+
+    /** Name of the image that the tasks run. */
+    public String image() {
+        return resources.image();
+    }
+
+    /** Size of the image in GB. */
+    public double imageGb() {
+        return resources.imageGb();
+    }
+
+    /** Names of the only machine types allowed, or null where any is. */
+    public Set<String> machineTypes() {
+        return placement.machineTypes();
+    }
+
+    /** The only zone allowed, or null where any is. */
+    public String zone() {
+        return placement.zone();
+    }
+
+    /** True when all tasks must run in one zone. */
+    public boolean singleZone() {
+        return placement.singleZone();
+    }
+
+    /** True when the tasks must be spread, see {@link #maxTasksPerZone}. */
+    public boolean spreadAcrossZones() {
+        return placement.spreadAcrossZones();
+    }
+
+    /** True when spot machines may be used. */
+    public boolean allowsSpot() {
+        return placement.allowsSpot();
+    }
+
+    /** True for tasks that save their progress when they are stopped with enough grace. */
     public boolean checkpoints() {
-        return checkpointIntervalS > 0;
+        return checkpointPolicy.isEnabled();
+    }
+
+    /** Seconds of run time between two checkpoints; 0 where the tasks save none. */
+    public double checkpointIntervalS() {
+        return checkpointPolicy.intervalS();
+    }
+
+    /** Seconds that it takes to save a checkpoint. */
+    public double checkpointSaveS() {
+        return checkpointPolicy.saveS();
     }
 
     /** Seconds of grace with which a task is stopped: enough to save, none where nothing is saved. */
     public double stopGraceS() {
-        return checkpoints() ? checkpointSaveS + 1 : 0;
+        return checkpointPolicy.stopGraceS();
     }
 
-    /** Seconds of run time that a stop without grace throws away after so many. */
+    /** Seconds of run time that are lost when a task is stopped without grace after so many. */
     public double workSinceCheckpointS(double ranS) {
-        return checkpoints() ? ranS % checkpointIntervalS : ranS;
+        return checkpointPolicy.workSinceCheckpointS(ranS);
     }
 
     /** Seconds of run time that are lost, on average, when one task's machine vanishes; a gang loses them in each task. */
     public double expectedLossS() {
-        double once = (checkpoints() ? Math.min(checkpointIntervalS, estimateS) : estimateS) / 2;
+        double interval = checkpoints() ? Math.min(checkpointPolicy.intervalS(), estimateS) : estimateS;
+        double once = interval / 2;
         return gang() ? once * tasks : once;
     }
 
     /** At most so many of the tasks may be in one zone. */
     public int maxTasksPerZone() {
-        return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
+        return placement.spreadAcrossZones() ? (tasks + 1) / 2 : tasks;
     }
 }
--- a/src/main/java/org/spoolline/pipeline/SubmissionCodec.java
+++ b/src/main/java/org/spoolline/pipeline/SubmissionCodec.java
@@ -5,17 +5,55 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.regex.Pattern;
 import org.spoolline.config.Constants;
 import org.spoolline.net.Json;
+import org.spoolline.pipeline.Submission.Priority;
+import org.spoolline.pipeline.Submission.Shape;
 
-/** A submission's wire form: checked on the way in, kept in the stored value by the same names. */
+/**
+ * A submission's wire form: checked when a user sends it, and kept in the stored value of the job under the same names.
+ * The names are the users' and mapped to those of {@link Submission} here only.
+ */
 public final class SubmissionCodec {
+    private static final String JOB_ID = "uid";
+    private static final String JOB_CLASS = "lane";
+    private static final String TEAM = "desk";
+    private static final String SHAPE = "shape";
+    private static final String PRIORITY = "urgency";
+    private static final String TASKS = "slips";
+    private static final String CORES = "cores";
+    private static final String ACCELERATORS = "accelerators";
+    private static final String MEMORY_GB = "memGb";
+    private static final String IMAGE = "plate";
+    private static final String IMAGE_GB = "imageGb";
+    private static final String MACHINE_TYPES = "builds";
+    private static final String ZONE = "yard";
+    private static final String SINGLE_ZONE = "samePlace";
+    private static final String SPREAD_ACROSS_ZONES = "scatter";
+    private static final String ALLOWS_SPOT = "standby";
+    private static final String ESTIMATE_S = "expectS";
+    private static final String CHECKPOINT_INTERVAL_S = "bookmarkS";
+    private static final String CHECKPOINT_SAVE_S = "stashS";
+    private static final String DEADLINE_S = "dueS";
     private static final String DEPENDENCIES = "waitsOn";
-    private static final Pattern UID = Pattern.compile("run-[0-9]{1,30}");
 
-    /** The submission is malformed; the message names the field. */
+    private static final WireNames<Shape> SHAPES =
+            new WireNames<>(Shape.class, Map.of("batch", Shape.ARRAY, "group", Shape.GANG, "standing", Shape.SERVICE));
+    private static final WireNames<Priority> PRIORITIES = new WireNames<>(
+            Priority.class,
+            Map.of(
+                    "critical", Priority.CRITICAL,
+                    "urgent", Priority.URGENT,
+                    "standard", Priority.STANDARD,
+                    "best_effort", Priority.BEST_EFFORT));
+
+    private static final Pattern JOB_ID_FORM = Pattern.compile("run-[0-9]{1,30}");
+
+    /** The submission is malformed; the message, which is for the user, names the field. Has no stack trace. */
     public static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -26,134 +64,56 @@
 
     private SubmissionCodec() {}
 
+    /** True when the text has the form of a job's id, whether or not there is such a job. */
     public static boolean isValidJobId(String jobId) {
-        return UID.matcher(jobId).matches();
+        return JOB_ID_FORM.matcher(jobId).matches();
     }
 
-    /** Parses and checks a user's body. */
+    /**
+     * Parses and checks a user's body; unknown fields are ignored. The order of the checks decides which of several
+     * malformed fields the user learns of.
+     *
+     * @throws Malformed at the first field that isn't well-formed
+     */
     public static Submission parse(JsonNode in) throws Malformed {
         if (!in.isObject()) {
             throw new Malformed("the body is not a JSON object");
         }
-        String jobId = text(in, "uid");
-        if (!isValidJobId(jobId)) {
-            throw new Malformed("uid");
-        }
-        Submission.Shape shape =
-                switch (text(in, "shape")) {
-                    case "batch" -> Submission.Shape.ARRAY;
-                    case "group" -> Submission.Shape.GANG;
-                    case "standing" -> Submission.Shape.SERVICE;
-                    default -> throw new Malformed("shape");
-                };
-        Submission.Priority priority =
-                switch (text(in, "urgency")) {
-                    case "critical" -> Submission.Priority.CRITICAL;
-                    case "urgent" -> Submission.Priority.URGENT;
-                    case "standard" -> Submission.Priority.STANDARD;
-                    case "best_effort" -> Submission.Priority.BEST_EFFORT;
-                    default -> throw new Malformed("urgency");
-                };
-        JsonNode slips = in.path("slips");
-        if (!slips.isIntegralNumber()
-                || !slips.canConvertToInt()
-                || slips.asInt() < 1
-                || slips.asInt() > Constants.Job.MAX_TASKS) {
-            throw new Malformed("slips");
-        }
-        Set<String> builds = null;
-        JsonNode types = in.path("builds");
-        if (types.isArray()) {
-            builds = new LinkedHashSet<>();
-            for (JsonNode type : types) {
-                if (!type.isTextual() || type.asText().isEmpty()) {
-                    throw new Malformed("builds");
-                }
-                builds.add(type.asText());
-            }
-            if (builds.isEmpty()) {
-                throw new Malformed("builds");
-            }
-        } else if (!absent(types)) {
-            throw new Malformed("builds");
-        }
-        JsonNode yard = in.path("yard");
-        if (!absent(yard) && (!yard.isTextual() || yard.asText().isEmpty())) {
-            throw new Malformed("yard");
-        }
-        double cores = amount(in, "cores");
-        if (cores <= 0) {
-            throw new Malformed("cores");
-        }
-        Double due = absent(in.path("dueS")) ? null : Double.valueOf(amount(in, "dueS"));
+        String jobId = jobId(in);
+        Shape shape = constant(in, SHAPE, SHAPES);
+        Priority priority = constant(in, PRIORITY, PRIORITIES);
+        int tasks = taskCount(in);
+        Set<String> machineTypes = machineTypes(in);
+        String zone = zone(in);
+        double cores = cores(in);
+        OptionalDouble deadlineS = deadlineS(in);
+        String jobClass = text(in, JOB_CLASS);
+        String team = text(in, TEAM);
+        TaskResources resources = resources(in, cores);
+        PlacementConstraints placement = placement(in, machineTypes, zone);
+        double estimateS = amount(in, ESTIMATE_S);
+        CheckpointPolicy checkpointPolicy = checkpointPolicy(in);
+        List<String> dependencies = dependencies(in);
         return new Submission(
                 jobId,
-                text(in, "lane"),
-                text(in, "desk"),
+                jobClass,
+                team,
                 shape,
                 priority,
-                slips.asInt(),
-                cores,
-                amount(in, "accelerators"),
-                amount(in, "memGb"),
-                text(in, "plate"),
-                amount(in, "imageGb"),
-                builds,
-                absent(yard) ? null : yard.asText(),
-                flag(in, "samePlace"),
-                flag(in, "scatter"),
-                flag(in, "standby"),
-                amount(in, "expectS"),
-                amount(in, "bookmarkS"),
-                amount(in, "stashS"),
-                due,
-                dependencies(in.path(DEPENDENCIES)));
-    }
-
-    /** The compact stored form: the known fields only. */
-    public static ObjectNode encode(Submission s) {
-        ObjectNode out = Json.object()
-                .put("uid", s.jobId())
-                .put("lane", s.jobClass())
-                .put("desk", s.team())
-                .put(
-                        "shape",
-                        switch (s.shape()) {
-                            case ARRAY -> "batch";
-                            case GANG -> "group";
-                            case SERVICE -> "standing";
-                        })
-                .put("urgency", s.priority().name().toLowerCase(java.util.Locale.ROOT))
-                .put("slips", s.tasks())
-                .put("cores", s.cores())
-                .put("accelerators", s.accelerators())
-                .put("memGb", s.memoryGb())
-                .put("plate", s.image())
-                .put("imageGb", s.imageGb())
-                .put("samePlace", s.singleZone())
-                .put("scatter", s.spreadAcrossZones())
-                .put("standby", s.allowsSpot())
-                .put("expectS", s.estimateS())
-                .put("bookmarkS", s.checkpointIntervalS())
-                .put("stashS", s.checkpointSaveS());
-        if (s.machineTypes() != null) {
-            ArrayNode types = out.putArray("builds");
-            s.machineTypes().forEach(types::add);
-        }
-        if (s.zone() != null) {
-            out.put("yard", s.zone());
-        }
-        if (s.deadlineS() != null) {
-            out.put("dueS", s.deadlineS());
-        }
-        if (!s.dependencies().isEmpty()) {
-            ArrayNode prerequisites = out.putArray(DEPENDENCIES);
-            s.dependencies().forEach(prerequisites::add);
-        }
-        return out;
+                tasks,
+                resources,
+                placement,
+                estimateS,
+                checkpointPolicy,
+                deadlineS,
+                dependencies);
     }
 
-    /** Reads a stored form, which was checked before it was stored. */
+    /**
+     * Reads a stored form, which was checked before it was stored.
+     *
+     * @throws IllegalArgumentException if it is damaged
+     */
     public static Submission decodeStored(JsonNode stored) {
         try {
             return parse(stored);
@@ -162,49 +122,182 @@
         }
     }
 
+    /** The compact stored form: the known fields only, in an order that stays the same. */
+    public static ObjectNode encode(Submission submission) {
+        ObjectNode out = Json.object()
+                .put(JOB_ID, submission.jobId())
+                .put(JOB_CLASS, submission.jobClass())
+                .put(TEAM, submission.team())
+                .put(SHAPE, SHAPES.nameOf(submission.shape()))
+                .put(PRIORITY, PRIORITIES.nameOf(submission.priority()))
+                .put(TASKS, submission.tasks())
+                .put(CORES, submission.cores())
+                .put(ACCELERATORS, submission.accelerators())
+                .put(MEMORY_GB, submission.memoryGb())
+                .put(IMAGE, submission.image())
+                .put(IMAGE_GB, submission.imageGb())
+                .put(SINGLE_ZONE, submission.singleZone())
+                .put(SPREAD_ACROSS_ZONES, submission.spreadAcrossZones())
+                .put(ALLOWS_SPOT, submission.allowsSpot())
+                .put(ESTIMATE_S, submission.estimateS())
+                .put(CHECKPOINT_INTERVAL_S, submission.checkpointIntervalS())
+                .put(CHECKPOINT_SAVE_S, submission.checkpointSaveS());
+        encodeOptionalFields(submission, out);
+        return out;
+    }
+
+    private static void encodeOptionalFields(Submission submission, ObjectNode out) {
+        if (submission.machineTypes() != null) {
+            ArrayNode machineTypes = out.putArray(MACHINE_TYPES);
+            submission.machineTypes().forEach(machineTypes::add);
+        }
+        if (submission.zone() != null) {
+            out.put(ZONE, submission.zone());
+        }
+        if (submission.deadlineS().isPresent()) {
+            out.put(DEADLINE_S, submission.deadlineS().getAsDouble());
+        }
+        if (!submission.dependencies().isEmpty()) {
+            ArrayNode dependencies = out.putArray(DEPENDENCIES);
+            submission.dependencies().forEach(dependencies::add);
+        }
+    }
+
+    private static String jobId(JsonNode in) throws Malformed {
+        String jobId = text(in, JOB_ID);
+        if (!isValidJobId(jobId)) {
+            throw new Malformed(JOB_ID);
+        }
+        return jobId;
+    }
+
+    private static int taskCount(JsonNode in) throws Malformed {
+        JsonNode tasks = in.path(TASKS);
+        if (!tasks.isIntegralNumber()
+                || !tasks.canConvertToInt()
+                || tasks.asInt() < 1
+                || tasks.asInt() > Constants.Job.MAX_TASKS) {
+            throw new Malformed(TASKS);
+        }
+        return tasks.asInt();
+    }
+
+    private static double cores(JsonNode in) throws Malformed {
+        double cores = amount(in, CORES);
+        if (cores <= 0) {
+            throw new Malformed(CORES);
+        }
+        return cores;
+    }
+
+    private static TaskResources resources(JsonNode in, double cores) throws Malformed {
+        double accelerators = amount(in, ACCELERATORS);
+        double memoryGb = amount(in, MEMORY_GB);
+        String image = text(in, IMAGE);
+        double imageGb = amount(in, IMAGE_GB);
+        return new TaskResources(cores, accelerators, memoryGb, image, imageGb);
+    }
+
+    private static PlacementConstraints placement(JsonNode in, Set<String> machineTypes, String zone) throws Malformed {
+        boolean singleZone = flag(in, SINGLE_ZONE);
+        boolean spreadAcrossZones = flag(in, SPREAD_ACROSS_ZONES);
+        boolean allowsSpot = flag(in, ALLOWS_SPOT);
+        return new PlacementConstraints(machineTypes, zone, singleZone, spreadAcrossZones, allowsSpot);
+    }
+
+    private static CheckpointPolicy checkpointPolicy(JsonNode in) throws Malformed {
+        double intervalS = amount(in, CHECKPOINT_INTERVAL_S);
+        double saveS = amount(in, CHECKPOINT_SAVE_S);
+        return new CheckpointPolicy(intervalS, saveS);
+    }
+
+    private static OptionalDouble deadlineS(JsonNode in) throws Malformed {
+        return isAbsent(in.path(DEADLINE_S)) ? OptionalDouble.empty() : OptionalDouble.of(amount(in, DEADLINE_S));
+    }
+
+    /** The machine types in the user's order, or null for any; a list without one would allow no machine at all. */
+    private static Set<String> machineTypes(JsonNode in) throws Malformed {
+        JsonNode names = in.path(MACHINE_TYPES);
+        if (isAbsent(names)) {
+            return null;
+        }
+        if (!names.isArray() || names.isEmpty()) {
+            throw new Malformed(MACHINE_TYPES);
+        }
+        Set<String> machineTypes = new LinkedHashSet<>();
+        for (JsonNode name : names) {
+            if (!isNonEmptyText(name)) {
+                throw new Malformed(MACHINE_TYPES);
+            }
+            machineTypes.add(name.asText());
+        }
+        return machineTypes;
+    }
+
+    /** The zone, or null for any. */
+    private static String zone(JsonNode in) throws Malformed {
+        JsonNode zone = in.path(ZONE);
+        if (isAbsent(zone)) {
+            return null;
+        }
+        if (!isNonEmptyText(zone)) {
+            throw new Malformed(ZONE);
+        }
+        return zone.asText();
+    }
+
     /** The ids of the jobs to wait for, each once; null, absent and empty all mean none. */
     private static List<String> dependencies(JsonNode in) throws Malformed {
-        if (absent(in)) {
+        JsonNode ids = in.path(DEPENDENCIES);
+        if (isAbsent(ids)) {
             return List.of();
         }
-        if (!in.isArray()) {
+        if (!ids.isArray()) {
             throw new Malformed(DEPENDENCIES);
         }
         Set<String> jobIds = new LinkedHashSet<>();
-        for (JsonNode jobId : in) {
-            if (!jobId.isTextual() || !isValidJobId(jobId.asText())) {
+        for (JsonNode id : ids) {
+            if (!id.isTextual() || !isValidJobId(id.asText())) {
                 throw new Malformed(DEPENDENCIES);
             }
-            jobIds.add(jobId.asText());
+            jobIds.add(id.asText());
         }
         return List.copyOf(jobIds);
     }
 
-    private static boolean absent(JsonNode node) {
-        return node.isMissingNode() || node.isNull();
+    private static boolean isAbsent(JsonNode value) {
+        return value.isMissingNode() || value.isNull();
+    }
+
+    private static boolean isNonEmptyText(JsonNode value) {
+        return value.isTextual() && !value.asText().isEmpty();
+    }
+
+    private static <E extends Enum<E>> E constant(JsonNode in, String field, WireNames<E> names) throws Malformed {
+        return names.constantOf(text(in, field)).orElseThrow(() -> new Malformed(field));
     }
 
-    private static String text(JsonNode in, String name) throws Malformed {
-        JsonNode value = in.path(name);
-        if (!value.isTextual() || value.asText().isEmpty() || value.asText().length() > Constants.Job.MAX_NAME) {
-            throw new Malformed(name);
+    private static String text(JsonNode in, String field) throws Malformed {
+        JsonNode value = in.path(field);
+        if (!isNonEmptyText(value) || value.asText().length() > Constants.Job.MAX_NAME) {
+            throw new Malformed(field);
         }
         return value.asText();
     }
 
-    private static boolean flag(JsonNode in, String name) throws Malformed {
-        JsonNode value = in.path(name);
+    private static boolean flag(JsonNode in, String field) throws Malformed {
+        JsonNode value = in.path(field);
         if (!value.isBoolean()) {
-            throw new Malformed(name);
+            throw new Malformed(field);
         }
         return value.asBoolean();
     }
 
-    private static double amount(JsonNode in, String name) throws Malformed {
-        JsonNode value = in.path(name);
+    private static double amount(JsonNode in, String field) throws Malformed {
+        JsonNode value = in.path(field);
         double amount = value.asDouble(-1);
         if (!value.isNumber() || !(amount >= 0) || Double.isInfinite(amount)) {
-            throw new Malformed(name);
+            throw new Malformed(field);
         }
         return amount;
     }
