--- a/src/test/java/org/spoolline/election/LeaderElectionTest.java
+++ b/src/test/java/org/spoolline/election/LeaderElectionTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.spoolline.config.OperatorSettings;
 import org.spoolline.config.Settings;
@@ -17,7 +18,7 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** One node's leadership with a loop that may be late and a state service that may be silent. */
+/** One node's leadership with an event loop that may be late and a key-value store that may not answer. */
 class LeaderElectionTest {
     private static final Settings SETTINGS = new Settings(
             "n",
@@ -36,13 +37,13 @@
             new Settings.Quota(1, 300, 1_000),
             OperatorSettings.DEFAULTS);
 
-    private final List<String> asked = new ArrayList<>();
-    private boolean silent;
+    private final List<String> requestedPaths = new ArrayList<>();
+    private boolean unanswered;
     private final FakeEventLoop loop = new FakeEventLoop();
     private final LeaderElection election = new LeaderElection(
             loop,
             new SplittableRandom(1),
-            new KeyValueStoreClient(loop, this::state, SETTINGS),
+            new KeyValueStoreClient(loop, this::serve, SETTINGS),
             SETTINGS,
             new LeaderElection.Listener() {
                 @Override
@@ -52,19 +53,14 @@
                 public void leaderObserved(String leader) {}
 
                 @Override
-                public void steppedDown(String why) {}
+                public void steppedDown(String reason) {}
             },
             new Counters(loop));
 
-    private void state(
-            String target,
-            String method,
-            String path,
-            byte[] body,
-            long timeoutMs,
-            java.util.function.Consumer<Http.Reply> done) {
-        asked.add(path);
-        if (silent) {
+    private void serve(
+            String target, String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> done) {
+        requestedPaths.add(path);
+        if (unanswered) {
             loop.after(timeoutMs, () -> done.accept(Http.Reply.NONE));
         } else if (path.startsWith("/keys/")) {
             done.accept(new Http.Reply(404, new byte[0]));
@@ -75,20 +71,20 @@
     }
 
     private long renewals() {
-        return asked.stream().filter(p -> p.endsWith("/touch")).count();
+        return requestedPaths.stream().filter(path -> path.endsWith("/touch")).count();
     }
 
-    /** A busy loop comes to its timers late; requests that it serves meanwhile send the renewal in time. */
+    /** A busy event loop runs its timers late; a renewal that is due is sent before the next request is served. */
     @Test
-    void aLateLoopRenewsBeforeItServesARequest() {
+    void aLateEventLoopRenewsBeforeItServesARequest() {
         election.start();
         loop.runTo(1_500);
         assertTrue(election.hasValidLease());
         loop.standStill(SETTINGS.renewMs() * 2);
         election.renewIfDue();
         election.renewIfDue();
-        assertEquals(1, renewals(), "one renewal, not one a request");
-        // The timer of before is late by now, and finds nothing to do.
+        assertEquals(1, renewals(), "one renewal, not one for each request");
+        // The timer that was due before the stall runs now, and no renewal is due any more.
         loop.runTo(loop.now());
         assertEquals(1, renewals());
         loop.runTo(loop.now() + 20_000);
@@ -100,7 +96,7 @@
     void withoutAnswersLeadershipEndsAndKeepAliveAfterIt() {
         election.start();
         loop.runTo(1_500);
-        silent = true;
+        unanswered = true;
         loop.runTo(loop.now() + SETTINGS.leadershipMs() + SETTINGS.renewMs());
         election.renewIfDue();
         assertFalse(election.hasValidLease());
