--- a/src/main/java/org/spoolline/peer/Cbor.java
+++ b/src/main/java/org/spoolline/peer/Cbor.java
@@ -9,17 +9,18 @@
 import java.io.UncheckedIOException;
 import org.spoolline.codec.TreeCodec;
 
-/** CBOR trees, the form of everything that controllers tell one another. */
+/** CBOR trees, the form of all messages between controllers. */
 final class Cbor {
     private static final TreeCodec CODEC = new TreeCodec(new CBORFactory());
 
     private Cbor() {}
 
+    /** A new empty map. */
     static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** The tree, or a missing node when the bytes are not CBOR. */
+    /** The tree that the bytes hold; a missing node when they are not CBOR. */
     static JsonNode read(byte[] bytes) {
         try {
             return CODEC.read(bytes);
@@ -28,10 +29,12 @@
         }
     }
 
+    /** Encodes the tree. */
     static byte[] bytes(JsonNode tree) {
         try {
             return CODEC.write(tree);
         } catch (IOException e) {
+            // The bytes are written to memory, so only a tree with a node type that CBOR lacks gets here.
             throw new UncheckedIOException(e);
         }
     }
--- /dev/null
+++ b/src/main/java/org/spoolline/peer/PeerCodec.java
@@ -0,0 +1,94 @@
+package org.spoolline.peer;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.BinaryNode;
+import java.util.Optional;
+import org.spoolline.net.Http;
+
+/**
+ * Messages between controllers, in CBOR. Controllers of the version before send and read the same fields during a
+ * rolling upgrade.
+ */
+public final class PeerCodec {
+    private static final String NODE = "node";
+    private static final String TOKEN = "token";
+    private static final String REACHES_STORE = "state";
+    private static final String RECEIVES_HEARTBEATS = "workers";
+    private static final String METHOD = "method";
+    private static final String PATH = "path";
+    private static final String BODY = "body";
+    private static final String STATUS = "status";
+    private static final String RETRY_AFTER_S = "retry";
+    private static final String CANCELLED_JOB = "uid";
+
+    private PeerCodec() {}
+
+    static byte[] encode(PeerStatus status) {
+        return Cbor.bytes(Cbor.object()
+                .put(NODE, status.node())
+                .put(TOKEN, status.token())
+                .put(REACHES_STORE, status.reachesStore())
+                .put(RECEIVES_HEARTBEATS, status.receivesHeartbeats()));
+    }
+
+    /** The status; empty when the bytes hold no CBOR map. */
+    public static Optional<PeerStatus> decodeStatus(byte[] bytes) {
+        JsonNode status = Cbor.read(bytes);
+        if (!status.isObject()) {
+            return Optional.empty();
+        }
+        return Optional.of(new PeerStatus(
+                status.path(NODE).asText(),
+                status.path(TOKEN).asLong(),
+                status.path(REACHES_STORE).asBoolean(),
+                status.path(RECEIVES_HEARTBEATS).asBoolean()));
+    }
+
+    /** Encodes a user's request that another controller is to serve. */
+    static byte[] encode(Http.Request request) {
+        return Cbor.bytes(Cbor.object()
+                .put(METHOD, request.method())
+                .put(PATH, request.path())
+                .put(BODY, request.body()));
+    }
+
+    /** The forwarded request, without its query; empty when the bytes hold no request. */
+    static Optional<Http.Request> decodeRequest(byte[] bytes) {
+        JsonNode request = Cbor.read(bytes);
+        if (!(request.path(BODY) instanceof BinaryNode body)) {
+            return Optional.empty();
+        }
+        return Optional.of(new Http.Request(
+                request.path(METHOD).asText(), request.path(PATH).asText(), "", body.binaryValue()));
+    }
+
+    /** Encodes the response to a forwarded request. */
+    static byte[] encode(Http.Response response) {
+        return Cbor.bytes(Cbor.object()
+                .put(STATUS, response.status())
+                .put(BODY, response.body())
+                .put(RETRY_AFTER_S, response.retryAfterS()));
+    }
+
+    /** The response to a forwarded request; empty when the bytes hold none. */
+    static Optional<Http.Response> decodeResponse(byte[] bytes) {
+        JsonNode response = Cbor.read(bytes);
+        if (!(response.path(BODY) instanceof BinaryNode body)) {
+            return Optional.empty();
+        }
+        return Optional.of(new Http.Response(
+                response.path(STATUS).asInt(),
+                body.binaryValue(),
+                response.path(RETRY_AFTER_S).asInt()));
+    }
+
+    /** Encodes the notification that a job's cancellation was confirmed to its user. */
+    static byte[] encodeCancellation(String jobId) {
+        return Cbor.bytes(Cbor.object().put(CANCELLED_JOB, jobId));
+    }
+
+    /** The cancelled job's id; empty text, which is no job's id, when the bytes hold none. */
+    static String decodeCancellation(byte[] bytes) {
+        return Cbor.read(bytes).path(CANCELLED_JOB).asText();
+    }
+}
--- a/src/main/java/org/spoolline/peer/PeerService.java
+++ b/src/main/java/org/spoolline/peer/PeerService.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
@@ -11,27 +12,38 @@
 import org.spoolline.net.Http;
 
 /**
- * Asks the other controllers how they are: tells an outage from one's own cut, hears of newer leaders, and hands users'
- * requests to a peer while this node alone can't reach the state service. The peer that commits is the one that
- * answers.
+ * Exchanges messages with the other controllers, so that this node can tell an outage of the key-value store from being
+ * cut off alone, learns of higher fencing tokens, and can forward users' requests while it alone does not reach the
+ * store. The peer that commits a forwarded request is the one that answers it.
+ *
+ * <p>All methods are called on the event loop.
  */
 public final class PeerService {
     private static final String STATUS = "/status";
     private static final String FORWARD = "/forward";
     private static final String CANCELLED = "/cancelled";
-
-    /** What the others may ask of this node. */
+    private static final byte[] NO_BODY = new byte[0];
+    private static final Http.Response OK = Http.Response.of(200, NO_BODY);
+    private static final Http.Response BAD_REQUEST = Http.Response.of(400, NO_BODY);
+    private static final Http.Response NOT_FOUND = Http.Response.of(404, NO_BODY);
+    private static final Http.Response UNAVAILABLE = new Http.Response(503, NO_BODY, Constants.Api.RETRY_AFTER_S);
+    /** Ms after which a status says nothing about the peer any more: two exchanges were missed. */
+    private static final long STATUS_VALID_MS = 2 * Constants.Peer.PEER_PING_MS + Constants.Peer.PEER_TIMEOUT_MS;
+
+    /** What peers may ask of this node. */
     public interface Local {
-        /** A user's request that came to a peer. */
+        /** Serves a user's request that a peer has forwarded. */
         void handle(Http.Request request, Consumer<Http.Response> answer);
 
+        /** True when workers send heartbeats to this node. */
         boolean receivesHeartbeats();
 
         /** A peer has confirmed to a user that the job is cancelled. */
         void jobCancelled(String jobId);
     }
 
-    private record Seen(PeerStatus status, long at) {}
+    /** A peer's last status, with when it came, in ms of the event loop's time. */
+    private record ReceivedStatus(PeerStatus status, long receivedAt) {}
 
     private final EventLoop loop;
     private final Http.Caller http;
@@ -39,8 +51,9 @@
     private final KeyValueStoreClient store;
     private final LeaderElection election;
     private final Local local;
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final Map<String, ReceivedStatus> statusByNode = new HashMap<>();
 
+    /** A service that sends nothing before {@link #start}. */
     public PeerService(
             EventLoop loop,
             Http.Caller http,
@@ -56,114 +69,109 @@
         this.local = local;
     }
 
+    /** Begins to exchange statuses with each peer. */
     public void start() {
         for (Settings.Peer peer : settings.peers()) {
-            ask(peer);
+            exchangeStatus(peer);
         }
     }
 
-    private void ask(Settings.Peer peer) {
-        http.call(peer.address(), "POST", STATUS, mine().encode(), Constants.Peer.PEER_TIMEOUT_MS, reply -> {
+    private void exchangeStatus(Settings.Peer peer) {
+        send(peer, STATUS, PeerCodec.encode(localStatus()), reply -> {
             if (reply.ok()) {
-                observe(PeerStatus.decode(reply.body()));
+                observeStatus(reply.body());
             }
-            loop.after(Constants.Peer.PEER_PING_MS, () -> ask(peer));
+            loop.after(Constants.Peer.PEER_PING_MS, () -> exchangeStatus(peer));
         });
     }
 
-    /** Serves the internal address. */
+    /** Serves a peer's request to the internal address. */
     public void handle(Http.Request request, Consumer<Http.Response> answer) {
-        if (request.path().equals(FORWARD)) {
-            Http.Request inner = ForwardingCodec.request(request.body());
-            if (inner == null) {
-                answer.accept(Http.Response.of(400, new byte[0]));
-            } else {
-                local.handle(inner, response -> answer.accept(Http.Response.of(200, ForwardingCodec.encode(response))));
+        switch (request.path()) {
+            case STATUS -> {
+                observeStatus(request.body());
+                answer.accept(Http.Response.of(200, PeerCodec.encode(localStatus())));
             }
-            return;
-        }
-        if (request.path().equals(CANCELLED)) {
-            local.jobCancelled(Cbor.read(request.body()).path("uid").asText());
-            answer.accept(Http.Response.of(200, new byte[0]));
-            return;
+            case FORWARD -> handleForwarded(request, answer);
+            case CANCELLED -> {
+                local.jobCancelled(PeerCodec.decodeCancellation(request.body()));
+                answer.accept(OK);
+            }
+            default -> answer.accept(NOT_FOUND);
         }
-        if (!request.path().equals(STATUS)) {
-            answer.accept(Http.Response.of(404, new byte[0]));
+    }
+
+    private void handleForwarded(Http.Request request, Consumer<Http.Response> answer) {
+        Optional<Http.Request> forwarded = PeerCodec.decodeRequest(request.body());
+        if (forwarded.isEmpty()) {
+            answer.accept(BAD_REQUEST);
             return;
         }
-        observe(PeerStatus.decode(request.body()));
-        answer.accept(Http.Response.of(200, mine().encode()));
+        local.handle(forwarded.get(), response -> answer.accept(Http.Response.of(200, PeerCodec.encode(response))));
     }
 
     /**
-     * Tells the leader of a cancellation that was committed and is now confirmed here. It learns of it by its watch as
-     * well, unless the state service refuses it alone; without this word the tasks would then run until their leases end.
+     * Notifies the leader of a cancellation that was committed and is now confirmed here. The leader learns of it through
+     * its watch as well, unless the key-value store refuses the leader alone; without the notification the tasks would
+     * then run until their leases expire.
      */
     public void notifyLeaderOfCancellation(String cancelledJobId) {
         for (Settings.Peer peer : settings.peers()) {
             if (peer.node().equals(election.knownLeader())) {
-                http.call(
-                        peer.address(),
-                        "POST",
-                        CANCELLED,
-                        Cbor.bytes(Cbor.object().put("uid", cancelledJobId)),
-                        Constants.Peer.PEER_TIMEOUT_MS,
-                        reply -> {});
+                send(peer, CANCELLED, PeerCodec.encodeCancellation(cancelledJobId), reply -> {});
             }
         }
     }
 
-    /** Hands a user's request to a peer that reaches the state service; false when none is known to. */
+    /**
+     * Forwards a user's request to a peer that reaches the key-value store.
+     *
+     * @return false when no peer is known to reach it; {@code answer} is then not called
+     */
     public boolean forward(Http.Request request, Consumer<Http.Response> answer) {
         for (Settings.Peer peer : settings.peers()) {
-            Seen last = seen.get(peer.node());
-            if (last != null && reaches(last)) {
-                http.call(
-                        peer.address(),
-                        "POST",
-                        FORWARD,
-                        ForwardingCodec.encode(request),
-                        Constants.Peer.PEER_TIMEOUT_MS,
-                        reply -> {
-                            Http.Response response = reply.ok() ? ForwardingCodec.response(reply.body()) : null;
-                            answer.accept(
-                                    response != null
-                                            ? response
-                                            : new Http.Response(503, new byte[0], Constants.Api.RETRY_AFTER_S));
-                        });
+            ReceivedStatus last = statusByNode.get(peer.node());
+            if (last != null && reachesStore(last)) {
+                send(peer, FORWARD, PeerCodec.encode(request), reply -> answer.accept(forwardedResponse(reply)));
                 return true;
             }
         }
         return false;
     }
 
-    private boolean reaches(Seen s) {
-        return s.status().reachesStore() && fresh(s);
+    private static Http.Response forwardedResponse(Http.Reply reply) {
+        return reply.ok() ? PeerCodec.decodeResponse(reply.body()).orElse(UNAVAILABLE) : UNAVAILABLE;
     }
 
-    private boolean fresh(Seen s) {
-        return loop.now() - s.at() < 2 * Constants.Peer.PEER_PING_MS + Constants.Peer.PEER_TIMEOUT_MS;
-    }
-
-    /** True when a peer that reaches the state service has lately said that workers come to it. */
+    /** True when a peer that reaches the key-value store has lately said that workers send heartbeats to it. */
     public boolean anyReceivesHeartbeats() {
-        return seen.values().stream().anyMatch(s -> reaches(s) && s.status().receivesHeartbeats());
+        return statusByNode.values().stream()
+                .anyMatch(
+                        received -> reachesStore(received) && received.status().receivesHeartbeats());
     }
 
-    /** True when a peer has lately said that it reaches the state service. */
+    /** True when a peer has lately said that it reaches the key-value store. */
     public boolean anyReachesStore() {
-        return seen.values().stream().anyMatch(this::reaches);
+        return statusByNode.values().stream().anyMatch(this::reachesStore);
+    }
+
+    private boolean reachesStore(ReceivedStatus received) {
+        return received.status().reachesStore() && loop.now() - received.receivedAt() < STATUS_VALID_MS;
     }
 
-    private PeerStatus mine() {
+    private PeerStatus localStatus() {
         return new PeerStatus(
                 settings.node(), election.highestKnownToken(), store.reachable(), local.receivesHeartbeats());
     }
 
-    private void observe(PeerStatus status) {
-        if (status != null) {
-            seen.put(status.node(), new Seen(status, loop.now()));
+    private void observeStatus(byte[] message) {
+        PeerCodec.decodeStatus(message).ifPresent(status -> {
+            statusByNode.put(status.node(), new ReceivedStatus(status, loop.now()));
             election.observeToken(status.token());
-        }
+        });
+    }
+
+    private void send(Settings.Peer peer, String path, byte[] message, Consumer<Http.Reply> done) {
+        http.call(peer.address(), "POST", path, message, Constants.Peer.PEER_TIMEOUT_MS, done);
     }
 }
--- /dev/null
+++ b/src/test/java/org/spoolline/peer/PeerCodecTest.java
@@ -0,0 +1,55 @@
+package org.spoolline.peer;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+import org.spoolline.net.Http;
+import org.spoolline.upgrade.ProductionForms;
+
+/** Messages between controllers, in the form that the version in production exchanges. */
+class PeerCodecTest {
+    private static final byte[] BODY = "body".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] NO_CBOR = {(byte) 0xff};
+
+    @Test
+    void aStatusIsWrittenAsInProduction() {
+        assertArrayEquals(
+                ProductionForms.bytes("peer-status.cbor"),
+                PeerCodec.encode(new PeerStatus("spooler-1", 41, true, false)));
+    }
+
+    @Test
+    void aForwardedRequestAndItsResponseAreReadBack() {
+        Http.Request request = PeerCodec.decodeRequest(
+                        PeerCodec.encode(new Http.Request("POST", "/jobs", "ignored=1", BODY)))
+                .orElseThrow();
+        assertEquals("POST", request.method());
+        assertEquals("/jobs", request.path());
+        assertEquals("", request.query());
+        assertArrayEquals(BODY, request.body());
+        Http.Response response = PeerCodec.decodeResponse(PeerCodec.encode(new Http.Response(429, BODY, 3)))
+                .orElseThrow();
+        assertEquals(429, response.status());
+        assertEquals(3, response.retryAfterS());
+        assertArrayEquals(BODY, response.body());
+    }
+
+    @Test
+    void aCancellationNamesItsJob() {
+        assertEquals("run-000001", PeerCodec.decodeCancellation(PeerCodec.encodeCancellation("run-000001")));
+    }
+
+    @Test
+    void bytesThatAreNoMessageAreTold() {
+        assertTrue(PeerCodec.decodeStatus(NO_CBOR).isEmpty());
+        assertTrue(PeerCodec.decodeRequest(NO_CBOR).isEmpty());
+        assertTrue(PeerCodec.decodeResponse(NO_CBOR).isEmpty());
+        // A status has no body, so it is not taken for a request.
+        assertTrue(PeerCodec.decodeRequest(ProductionForms.bytes("peer-status.cbor"))
+                .isEmpty());
+        assertEquals("", PeerCodec.decodeCancellation(NO_CBOR));
+    }
+}
--- a/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
+++ b/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
@@ -7,11 +7,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.spoolline.job.TerminalRecord;
 import org.spoolline.net.Json;
+import org.spoolline.peer.PeerCodec;
 import org.spoolline.peer.PeerStatus;
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.Pipeline;
@@ -25,7 +27,7 @@
     }
 
     @Test
-    void aNewJobWithoutPrerequisitesIsStoredAsInProduction() throws Exception {
+    void aNewJobWithoutDependenciesIsStoredAsInProduction() throws Exception {
         Submission job = SubmissionCodec.parse(value("accepted.json").path("job"));
         Pipeline accepted = Pipeline.accept(job, SubmissionCodec.encode(job), 1_700_000_000_000L);
         assertEquals(value("accepted.json"), Json.read(Json.bytes(accepted.encode())));
@@ -57,12 +59,12 @@
     }
 
     @Test
-    void lastingRecordsAndPeersAreRead() {
+    void terminalRecordsAndPeerStatusesAreRead() {
         assertEquals(new TerminalRecord(true, 1800), TerminalRecord.decode(value("final-done.json")));
         assertEquals(new TerminalRecord(false, 3), TerminalRecord.decode(value("final-aborted.json")));
         assertEquals(
-                new PeerStatus("spooler-1", 41, true, false),
-                PeerStatus.decode(ProductionForms.bytes("peer-status.cbor")));
+                Optional.of(new PeerStatus("spooler-1", 41, true, false)),
+                PeerCodec.decodeStatus(ProductionForms.bytes("peer-status.cbor")));
     }
 
     /** Fields of a later version are ignored; they are lost when the value is written again. */
@@ -74,9 +76,9 @@
                 value("wide.json"), Json.read(Json.bytes(Pipeline.decode(later).encode())));
     }
 
-    /** Production reads versions up to 2 and refuses others: a waiting job must not look like one that may start. */
+    /** Production reads versions up to 2 and rejects others: a job with open dependencies must not look like one that may start. */
     @Test
-    void onlyJobsThatProductionCouldNotServeAreStoredInAFormThatItRefuses() throws Exception {
+    void onlyJobsThatProductionCouldNotServeAreStoredInAFormThatItRejects() throws Exception {
         ObjectNode body = value("accepted.json").path("job").deepCopy();
         body.putArray("waitsOn").add("run-000001").add("run-000002");
         Submission job = SubmissionCodec.parse(body);
