--- a/src/main/java/org/spoolline/upgrade/VersionRegistry.java
+++ b/src/main/java/org/spoolline/upgrade/VersionRegistry.java
@@ -1,8 +1,6 @@
 package org.spoolline.upgrade;
 
-import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -11,78 +9,93 @@
 import org.spoolline.config.Settings;
 import org.spoolline.kvstore.KeyValueStoreClient;
 import org.spoolline.kvstore.Transaction;
+import org.spoolline.kvstore.VersionedValue;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Json;
 
 /**
- * Tells when every controller can read what this version writes. Each controller records itself once in the state
- * service, for ever: an upgraded controller never goes back to an earlier version. Once every configured one is recorded,
- * no earlier version can run any more, whatever crashes; until then only what earlier versions read is written.
+ * Registry of the controllers that run this version or a later one. It tells when values may be written that earlier
+ * versions can't read.
+ *
+ * <p>Each controller records itself once in the key-value store, and its record is never removed: an upgraded controller
+ * never goes back to an earlier version. Once every configured controller is recorded, no earlier version can run any
+ * more, whatever fails; until then only what earlier versions read may be written.
  */
 public final class VersionRegistry {
-    /** Prefix of the controllers' records. */
-    static final String VERSIONS = "version/";
+    /** Prefix of the controllers' records; the node name follows. */
+    private static final String KEY_PREFIX = "version/";
+    /** Field of a record: the highest version of stored pipelines that the controller reads. */
+    private static final String PIPELINE_VERSION = "pipeline";
 
     private static final Logger LOG = LoggerFactory.getLogger(VersionRegistry.class);
 
-    /** Whether all controllers are of this version, as far as the state service tells. */
+    /** Whether all controllers run this version or a later one. */
     public enum Answer {
         ALL_UPGRADED,
+        /** At least one controller is not recorded yet. */
         SOME_MAY_BE_OLDER,
+        /** The key-value store did not answer. */
         UNKNOWN
     }
 
     private final EventLoop loop;
     private final KeyValueStoreClient store;
     private final Settings settings;
+    /** Never false again once it is true, since records are never removed. */
     private boolean allUpgraded;
 
+    /** A registry that records nothing before {@link #start}. */
     public VersionRegistry(EventLoop loop, KeyValueStoreClient store, Settings settings) {
         this.loop = loop;
         this.store = store;
         this.settings = settings;
     }
 
-    /** Records this controller, unless an earlier life of it has done so. */
+    /** Records this controller, unless an earlier process of it has done so; repeated until the store has answered. */
     public void start() {
-        String key = VERSIONS + settings.node();
+        String key = KEY_PREFIX + settings.node();
         store.acquireWithDebt(1);
         Transaction transaction = new Transaction()
                 .requireVersion(key, 0)
-                .put(key, Json.object().put("pipeline", Constants.Job.PIPELINE_VERSION_DEPENDENT));
+                .put(key, Json.object().put(PIPELINE_VERSION, Constants.Job.PIPELINE_VERSION_DEPENDENT));
         store.commit(transaction, result -> {
             switch (result.outcome()) {
-                case APPLIED, CONFLICT -> LOG.debug("{} is recorded", key);
+                case APPLIED, CONFLICT -> LOG.debug("Recorded the version of this controller: key={}", key);
                 default -> loop.after(Constants.Time.RETRY_MS, this::start);
             }
         });
     }
 
-    /** Answers at once when it is known already, else from the state service. */
+    /** Answers at once when all are known to be upgraded, otherwise from the key-value store. */
     public void ask(Consumer<Answer> done) {
         if (allUpgraded) {
             done.accept(Answer.ALL_UPGRADED);
             return;
         }
-        store.list(VERSIONS, listing -> {
+        store.list(KEY_PREFIX, listing -> {
             if (!listing.answered()) {
                 done.accept(Answer.UNKNOWN);
                 return;
             }
-            Set<String> missing = new HashSet<>(controllers());
-            listing.values().forEach(item -> missing.remove(item.key().substring(VERSIONS.length())));
-            if (missing.isEmpty()) {
+            Set<String> unrecorded = controllers();
+            for (VersionedValue entry : listing.values()) {
+                unrecorded.remove(entry.key().substring(KEY_PREFIX.length()));
+            }
+            if (unrecorded.isEmpty()) {
                 allUpgraded = true;
-                LOG.info("every controller is of this version: jobs with prerequisites are taken");
+                LOG.info(
+                        "All controllers upgraded, accepting jobs with dependencies: controllers={}",
+                        controllers().size());
             }
-            done.accept(missing.isEmpty() ? Answer.ALL_UPGRADED : Answer.SOME_MAY_BE_OLDER);
+            done.accept(allUpgraded ? Answer.ALL_UPGRADED : Answer.SOME_MAY_BE_OLDER);
         });
     }
 
-    private List<String> controllers() {
-        List<String> names = new ArrayList<>();
-        names.add(settings.node());
-        settings.peers().forEach(peer -> names.add(peer.node()));
-        return names;
+    /** The node names of all configured controllers, in a new set. */
+    private Set<String> controllers() {
+        Set<String> nodes = new HashSet<>();
+        nodes.add(settings.node());
+        settings.peers().forEach(peer -> nodes.add(peer.node()));
+        return nodes;
     }
 }
