--- a/src/test/java/org/spoolline/simulation/ConcurrentFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentFailuresTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.spoolline.simulation.Workloads.SEEDS;
 import static org.spoolline.simulation.Workloads.busy;
 import static org.spoolline.simulation.Workloads.day;
 import static org.spoolline.simulation.Workloads.everyJobIsDone;
@@ -13,6 +12,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.net.Json;
 
 /** Two troubles at once: each story brings one meeting about, and asserts that it came about. See docs/meetings.md. */
@@ -49,9 +50,10 @@
         return simulation.users.submit(simulation.users.job(team, "batch", tasks, cores, 70));
     }
 
-    @Test
-    void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage() {
-        day(520, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage(int seed) {
+        day(seed, 520, simulation -> {
             long before = simulation.store.value("token").path("n").asLong();
             for (int i = 0; i < 6; i++) {
                 longJob(simulation, i % 2 == 0 ? "blue" : "red", 3, 2);
@@ -72,9 +74,10 @@
         });
     }
 
-    @Test
-    void theStateServiceIsSlowRefusesTheLeaderAndThenEverybodyWhileUsersCancelAndAsk() {
-        day(420, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theStateServiceIsSlowRefusesTheLeaderAndThenEverybodyWhileUsersCancelAndAsk(int seed) {
+        day(seed, 420, simulation -> {
             longJob(simulation, "blue", 6, 2);
             longJob(simulation, "red", 4, 2);
             simulation.slow("state", true);
@@ -88,113 +91,108 @@
     }
 
     /** What can't be asked counts against the limit until it is proven gone, cancelled or not, whoever leads. */
-    @Test
-    void aTeamIsAtItsLimitWhenTheLeaderChangesMachinesAreSilentAndAJobIsCancelled() {
-        for (int seed = 1; seed <= 2 * SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(3);
-            List<SimulatedUsers.Job> jobs = new ArrayList<>();
-            for (int i = 0; i < 6; i++) {
-                jobs.add(longJob(simulation, "red", 8, 2));
-            }
-            simulation.run(40);
-            double red = up(simulation).stream()
-                            .flatMap(w -> w.tasks().stream())
-                            .filter(FakeWorker.Task::alive)
-                            .count()
-                    * 2.0;
-            assertEquals(32, red, "seed " + seed + ": the team is not at its limit");
-            simulation.crashFor(leader(simulation), 7);
-            for (FakeWorker worker : up(simulation).subList(0, 2)) {
-                cutFromNodes(simulation, worker.name, "", Simulation.Cut.HOLD);
-                simulation.at(
-                        11_000 + simulation.random.nextInt(14_000),
-                        () -> cutFromNodes(simulation, worker.name, "", Simulation.Cut.NONE));
-            }
-            simulation.at(simulation.random.nextInt(12_000), () -> simulation.users.cancel(jobs.get(0)));
-            simulation.at(simulation.random.nextInt(12_000), () -> simulation.users.cancel(jobs.get(1)));
-            simulation.at(60_000, simulation.invariants::troublesAreOver);
-            simulation.run(520);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            for (SimulatedUsers.Job job : jobs) {
-                assertTrue(List.of("done", "aborted").contains(job.status()), "seed " + seed + ": " + job.jobId());
-            }
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void aTeamIsAtItsLimitWhenTheLeaderChangesMachinesAreSilentAndAJobIsCancelled(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(3);
+        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        for (int i = 0; i < 6; i++) {
+            jobs.add(longJob(simulation, "red", 8, 2));
+        }
+        simulation.run(40);
+        double red = up(simulation).stream()
+                        .flatMap(w -> w.tasks().stream())
+                        .filter(FakeWorker.Task::alive)
+                        .count()
+                * 2.0;
+        assertEquals(32, red, "seed " + seed + ": the team is not at its limit");
+        simulation.crashFor(leader(simulation), 7);
+        for (FakeWorker worker : up(simulation).subList(0, 2)) {
+            cutFromNodes(simulation, worker.name, "", Simulation.Cut.HOLD);
+            simulation.at(
+                    11_000 + simulation.random.nextInt(14_000),
+                    () -> cutFromNodes(simulation, worker.name, "", Simulation.Cut.NONE));
+        }
+        simulation.at(simulation.random.nextInt(12_000), () -> simulation.users.cancel(jobs.get(0)));
+        simulation.at(simulation.random.nextInt(12_000), () -> simulation.users.cancel(jobs.get(1)));
+        simulation.at(60_000, simulation.invariants::troublesAreOver);
+        simulation.run(520);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        for (SimulatedUsers.Job job : jobs) {
+            assertTrue(List.of("done", "aborted").contains(job.status()), "seed " + seed + ": " + job.jobId());
         }
     }
 
-    @Test
-    void aLeaderCutFromStateAndPeersKeepsWorkersAndUsersWhileTheNewOneCancels() {
-        for (int seed = 1; seed <= 2 * SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(3);
-            List<SimulatedUsers.Job> jobs = new ArrayList<>();
-            for (int i = 0; i < 5; i++) {
-                jobs.add(longJob(simulation, i % 2 == 0 ? "blue" : "red", 4, 2));
-            }
-            simulation.run(40);
-            String old = leader(simulation);
-            cutFromNodes(simulation, old, "", Simulation.Cut.LOSE);
-            simulation.cut(old, "state", Simulation.Cut.LOSE);
-            simulation.at(7_000, () -> {
-                assertFalse(old.equals(simulation.leader()), "no new leader");
-                jobs.subList(0, 3).forEach(simulation.users::cancel);
-            });
-            simulation.at(70_000, () -> {
-                cutFromNodes(simulation, old, "", Simulation.Cut.NONE);
-                simulation.cut(old, "state", Simulation.Cut.NONE);
-                simulation.invariants.troublesAreOver();
-            });
-            simulation.run(330);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            for (int i = 0; i < jobs.size(); i++) {
-                assertEquals(i < 3 ? "aborted" : "done", jobs.get(i).status(), "seed " + seed);
-            }
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void aLeaderCutFromStateAndPeersKeepsWorkersAndUsersWhileTheNewOneCancels(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(3);
+        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        for (int i = 0; i < 5; i++) {
+            jobs.add(longJob(simulation, i % 2 == 0 ? "blue" : "red", 4, 2));
+        }
+        simulation.run(40);
+        String old = leader(simulation);
+        cutFromNodes(simulation, old, "", Simulation.Cut.LOSE);
+        simulation.cut(old, "state", Simulation.Cut.LOSE);
+        simulation.at(7_000, () -> {
+            assertFalse(old.equals(simulation.leader()), "no new leader");
+            jobs.subList(0, 3).forEach(simulation.users::cancel);
+        });
+        simulation.at(70_000, () -> {
+            cutFromNodes(simulation, old, "", Simulation.Cut.NONE);
+            simulation.cut(old, "state", Simulation.Cut.NONE);
+            simulation.invariants.troublesAreOver();
+        });
+        simulation.run(330);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        for (int i = 0; i < jobs.size(); i++) {
+            assertEquals(i < 3 ? "aborted" : "done", jobs.get(i).status(), "seed " + seed);
         }
     }
 
-    @Test
-    void jobsBoundToOneZoneLoseMachinesAcrossAChangeOfLeader() {
-        for (int seed = 1; seed <= 2 * SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(3);
-            simulation.users.submit(
-                    simulation.users.job("blue", "batch", 10, 4, 30).with("samePlace", true));
-            simulation.users.submit(simulation
-                    .users
-                    .job("red", "group", 4, 4, 40)
-                    .with("samePlace", true)
-                    .with("bookmarkS", 5.0)
-                    .with("stashS", 1.0));
-            simulation.users.submit(
-                    simulation.users.job("blue", "batch", 6, 4, 30).with("yard", "b"));
-            simulation.users.submit(
-                    simulation.users.job("blue", "group", 5, 2, 40).with("scatter", true));
-            simulation.run(45);
-            int[] lost = new int[1];
-            for (int i = 0; i < 4; i++) {
-                simulation.at(i * 11_000L, () -> {
-                    FakeWorker worker = busy(simulation);
-                    lost[0] += worker.dead() ? 0 : 1;
-                    if (simulation.random.nextBoolean()) {
-                        worker.die();
-                    } else {
-                        cutFromNodes(simulation, worker.name, "", Simulation.Cut.LOSE);
-                        simulation.at(25_000, () -> cutFromNodes(simulation, worker.name, "", Simulation.Cut.NONE));
-                    }
-                });
-            }
-            simulation.at(12_000, () -> simulation.crashFor(leader(simulation), 5));
-            simulation.run(80);
-            assertTrue(lost[0] > 0, "no machine was lost");
-            simulation.invariants.troublesAreOver();
-            simulation.run(300);
-            everyJobIsDone(simulation, seed);
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void jobsBoundToOneZoneLoseMachinesAcrossAChangeOfLeader(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(3);
+        simulation.users.submit(simulation.users.job("blue", "batch", 10, 4, 30).with("samePlace", true));
+        simulation.users.submit(simulation
+                .users
+                .job("red", "group", 4, 4, 40)
+                .with("samePlace", true)
+                .with("bookmarkS", 5.0)
+                .with("stashS", 1.0));
+        simulation.users.submit(simulation.users.job("blue", "batch", 6, 4, 30).with("yard", "b"));
+        simulation.users.submit(simulation.users.job("blue", "group", 5, 2, 40).with("scatter", true));
+        simulation.run(45);
+        int[] lost = new int[1];
+        for (int i = 0; i < 4; i++) {
+            simulation.at(i * 11_000L, () -> {
+                FakeWorker worker = busy(simulation);
+                lost[0] += worker.dead() ? 0 : 1;
+                if (simulation.random.nextBoolean()) {
+                    worker.die();
+                } else {
+                    cutFromNodes(simulation, worker.name, "", Simulation.Cut.LOSE);
+                    simulation.at(25_000, () -> cutFromNodes(simulation, worker.name, "", Simulation.Cut.NONE));
+                }
+            });
         }
+        simulation.at(12_000, () -> simulation.crashFor(leader(simulation), 5));
+        simulation.run(80);
+        assertTrue(lost[0] > 0, "no machine was lost");
+        simulation.invariants.troublesAreOver();
+        simulation.run(300);
+        everyJobIsDone(simulation, seed);
     }
 
-    @Test
-    void theLeaderEndsWhileMachinesWithLongTasksAreSilentOrDoNotHearTheNewOne() {
-        day(420, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderEndsWhileMachinesWithLongTasksAreSilentOrDoNotHearTheNewOne(int seed) {
+        day(seed, 420, simulation -> {
             longJob(simulation, "blue", 8, 2);
             longJob(simulation, "red", 6, 2);
             simulation.at(14_000, () -> {
@@ -218,40 +216,40 @@
     }
 
     /** The end acknowledged by one leader is counted once by the next, the other task's too. */
-    @Test
-    void jobsOfTwoOrThreeTasksEndFarApartAcrossAChangeOfLeader() {
-        for (int seed = 1; seed <= 2 * SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(3);
-            List<SimulatedUsers.Job> jobs = new ArrayList<>();
-            for (int i = 0; i < 6; i++) {
-                jobs.add(simulation.users.submit(simulation
-                        .users
-                        .job(i % 2 == 0 ? "blue" : "red", "batch", 2 + i % 2, 2, 8 + i)
-                        .endingApart(14_000)));
-            }
-            for (int i = 0; i < 60 && !halfWay(simulation, jobs); i++) {
-                simulation.run(1);
-            }
-            assertTrue(halfWay(simulation, jobs), "seed " + seed + ": no job is half way");
-            simulation.store.answersToLose = 2;
-            simulation.crashFor(leader(simulation), 0.2);
-            simulation.at(9_000, () -> simulation.crashFor(leader(simulation), 6));
-            simulation.at(18_000, () -> simulation.crashFor(leader(simulation), 0.2));
-            simulation.run(60);
-            simulation.invariants.troublesAreOver();
-            simulation.run(160);
-            everyJobIsDone(simulation, seed);
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void jobsOfTwoOrThreeTasksEndFarApartAcrossAChangeOfLeader(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(3);
+        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        for (int i = 0; i < 6; i++) {
+            jobs.add(simulation.users.submit(simulation
+                    .users
+                    .job(i % 2 == 0 ? "blue" : "red", "batch", 2 + i % 2, 2, 8 + i)
+                    .endingApart(14_000)));
         }
+        for (int i = 0; i < 60 && !halfWay(simulation, jobs); i++) {
+            simulation.run(1);
+        }
+        assertTrue(halfWay(simulation, jobs), "seed " + seed + ": no job is half way");
+        simulation.store.answersToLose = 2;
+        simulation.crashFor(leader(simulation), 0.2);
+        simulation.at(9_000, () -> simulation.crashFor(leader(simulation), 6));
+        simulation.at(18_000, () -> simulation.crashFor(leader(simulation), 0.2));
+        simulation.run(60);
+        simulation.invariants.troublesAreOver();
+        simulation.run(160);
+        everyJobIsDone(simulation, seed);
     }
 
     private static boolean halfWay(Simulation simulation, List<SimulatedUsers.Job> jobs) {
         return jobs.stream().anyMatch(j -> simulation.invariants.completedCount(j.jobId()) % j.tasks() != 0);
     }
 
-    @Test
-    void answersAreHeldUpForSecondsAndTheMachineGoesOn() {
-        day(360, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void answersAreHeldUpForSecondsAndTheMachineGoesOn(int seed) {
+        day(seed, 360, simulation -> {
             longJob(simulation, "blue", 6, 2);
             for (int i = 0; i < 8; i++) {
                 simulation.at(i * 7_000L, () -> {
@@ -268,9 +266,10 @@
         });
     }
 
-    @Test
-    void allControllersAreAwayForLongerThanALeaseWithCancellationsBefore() {
-        day(420, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void allControllersAreAwayForLongerThanALeaseWithCancellationsBefore(int seed) {
+        day(seed, 420, simulation -> {
             longJob(simulation, "blue", 6, 2);
             longJob(simulation, "red", 6, 2);
             simulation.at(9_000, () -> assertTrue(cancelSome(simulation, 3) > 0));
@@ -278,9 +277,10 @@
         });
     }
 
-    @Test
-    void moreWorkThanRoomUrgentAndNotOverSlowLinks() {
-        day(700, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void moreWorkThanRoomUrgentAndNotOverSlowLinks(int seed) {
+        day(seed, 700, simulation -> {
             simulation.cloud.capacity = 2;
             NODES.forEach(n -> simulation.slow(n, true));
             simulation.slow("state", true);
@@ -298,10 +298,11 @@
     }
 
     /** The node inside leads or not; the workers inside stay with it while it may answer them. */
-    @Test
-    void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease() {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease(int seed) {
         for (boolean leaderInside : List.of(true, false)) {
-            day(480, simulation -> {
+            day(seed, 480, simulation -> {
                 longJob(simulation, "blue", 8, 2);
                 longJob(simulation, "red", 4, 2);
                 simulation.at(14_000, () -> {
@@ -334,26 +335,29 @@
     @Test
     void transactionsAreCarriedOutLateAfterNewerOnes() {
         int[] late = new int[2];
-        day(460, simulation -> {
-            simulation.store.lateWrites(0.25, 80);
-            for (int i = 0; i < 8; i++) {
-                int n = i;
-                simulation.at(i * 6_000L, () -> simulation.users.submit(jobOf(simulation, n)));
-                simulation.at(i * 9_000L + 3_000, () -> cancelSome(simulation, 4));
-            }
-            simulation.at(20_000, () -> simulation.crashFor(leader(simulation), 0.3));
-            simulation.at(45_000, () -> simulation.crashFor(leader(simulation), 6));
-            simulation.at(120_000, () -> {
-                late[0] += simulation.store.late;
-                late[1] += simulation.store.lateApplied;
+        for (int seed : Seeds.each()) {
+            day(seed, 460, simulation -> {
+                simulation.store.lateWrites(0.25, 80);
+                for (int i = 0; i < 8; i++) {
+                    int n = i;
+                    simulation.at(i * 6_000L, () -> simulation.users.submit(jobOf(simulation, n)));
+                    simulation.at(i * 9_000L + 3_000, () -> cancelSome(simulation, 4));
+                }
+                simulation.at(20_000, () -> simulation.crashFor(leader(simulation), 0.3));
+                simulation.at(45_000, () -> simulation.crashFor(leader(simulation), 6));
+                simulation.at(120_000, () -> {
+                    late[0] += simulation.store.late;
+                    late[1] += simulation.store.lateApplied;
+                });
             });
-        });
+        }
         assertTrue(late[0] > 20 && late[1] > 0, "late " + late[0] + ", carried out " + late[1]);
     }
 
-    @Test
-    void controllersHandOverAndBackAllEndAndOneReturnsWithinASecond() {
-        day(420, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void controllersHandOverAndBackAllEndAndOneReturnsWithinASecond(int seed) {
+        day(seed, 420, simulation -> {
             longJob(simulation, "blue", 6, 2);
             longJob(simulation, "red", 4, 2);
             for (int i = 0; i < 4; i++) {
@@ -374,9 +378,10 @@
     }
 
     /** A mute machine renews nothing: its tasks end with its lease, and nobody may start them elsewhere before. */
-    @Test
-    void machinesThatReachNoControllerStillTakeCommandsWhileJobsAreCancelled() {
-        day(420, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void machinesThatReachNoControllerStillTakeCommandsWhileJobsAreCancelled(int seed) {
+        day(seed, 420, simulation -> {
             longJob(simulation, "blue", 8, 2);
             simulation.at(14_000, () -> {
                 List<FakeWorker> some =
@@ -388,9 +393,10 @@
         });
     }
 
-    @Test
-    void aReportIsHeldBackUntilANewLeaderHasActedAndThenArrivesThere() {
-        day(420, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aReportIsHeldBackUntilANewLeaderHasActedAndThenArrivesThere(int seed) {
+        day(seed, 420, simulation -> {
             longJob(simulation, "blue", 8, 2);
             longJob(simulation, "red", 4, 2);
             simulation.at(14_000, () -> {
@@ -412,9 +418,10 @@
         });
     }
 
-    @Test
-    void oldReportsOfEarlierSessionsAndAttemptsArriveAfterNewerOnes() {
-        day(480, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void oldReportsOfEarlierSessionsAndAttemptsArriveAfterNewerOnes(int seed) {
+        day(seed, 480, simulation -> {
             simulation.copyReports(50_000);
             longJob(simulation, "blue", 6, 2);
             longJob(simulation, "red", 4, 2);
@@ -434,42 +441,42 @@
     @Test
     void aCancellationAQuestionAndARepeatedSubmissionMeetTheEndOfAJob() {
         int[] met = new int[1];
-        day(260, simulation -> {
-            simulation.users.cancelAtEnd(0.8, 100);
-            for (int i = 0; i < 10; i++) {
-                int n = i;
-                simulation.at(i * 3_000L, () -> simulation.users.submit(jobOf(simulation, n)));
-            }
-            simulation.at(100_000, () -> met[0] += simulation.users.calledOffAtEnd);
-        });
+        for (int seed : Seeds.each()) {
+            day(seed, 260, simulation -> {
+                simulation.users.cancelAtEnd(0.8, 100);
+                for (int i = 0; i < 10; i++) {
+                    int n = i;
+                    simulation.at(i * 3_000L, () -> simulation.users.submit(jobOf(simulation, n)));
+                }
+                simulation.at(100_000, () -> met[0] += simulation.users.calledOffAtEnd);
+            });
+        }
         assertTrue(met[0] > 10, "met " + met[0]);
     }
 
     /** The burst comes within a fifth of a second, and the machines hang right after it. */
-    @Test
-    void manyRunningJobsAreCalledOffAtOnceAndTheirMachinesHang() {
-        for (int seed = 1; seed <= 2 * SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(3);
-            List<SimulatedUsers.Job> jobs = new ArrayList<>();
-            for (int i = 0; i < 10; i++) {
-                jobs.add(
-                        simulation.users.submit(simulation.users.job(i % 2 == 0 ? "blue" : "red", "batch", 3, 1, 300)));
-            }
-            simulation.run(40);
-            jobs.forEach(j -> simulation.at(simulation.random.nextInt(200), () -> simulation.users.cancel(j)));
-            List<FakeWorker> hung = up(simulation).stream()
-                    .filter(w -> !w.tasks().isEmpty())
-                    .limit(8)
-                    .toList();
-            assertFalse(hung.isEmpty());
-            int hangS = 4 + simulation.random.nextInt(30);
-            simulation.at(simulation.random.nextInt(400), () -> hung.forEach(w -> w.hang(hangS)));
-            simulation.at(1_000, () -> simulation.crashFor(leader(simulation), 0.3));
-            simulation.run(120);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            jobs.forEach(j -> assertEquals("aborted", j.status()));
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void manyRunningJobsAreCalledOffAtOnceAndTheirMachinesHang(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(3);
+        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        for (int i = 0; i < 10; i++) {
+            jobs.add(simulation.users.submit(simulation.users.job(i % 2 == 0 ? "blue" : "red", "batch", 3, 1, 300)));
         }
+        simulation.run(40);
+        jobs.forEach(j -> simulation.at(simulation.random.nextInt(200), () -> simulation.users.cancel(j)));
+        List<FakeWorker> hung = up(simulation).stream()
+                .filter(w -> !w.tasks().isEmpty())
+                .limit(8)
+                .toList();
+        assertFalse(hung.isEmpty());
+        int hangS = 4 + simulation.random.nextInt(30);
+        simulation.at(simulation.random.nextInt(400), () -> hung.forEach(w -> w.hang(hangS)));
+        simulation.at(1_000, () -> simulation.crashFor(leader(simulation), 0.3));
+        simulation.run(120);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        jobs.forEach(j -> assertEquals("aborted", j.status()));
     }
 
     @Test
--- a/src/test/java/org/spoolline/simulation/DependentJobsTest.java
+++ b/src/test/java/org/spoolline/simulation/DependentJobsTest.java
@@ -3,13 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.spoolline.simulation.Workloads.SEEDS;
 import static org.spoolline.simulation.Workloads.leader;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 import org.spoolline.pipeline.Pipeline;
@@ -73,25 +74,23 @@
     }
 
     /** Three lines, trouble when the second begins, and time to recover: every job ends and no rule is broken. */
-    private static void lines(double seconds, Consumer<List<Line>> trouble) {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            List<Line> lines = new ArrayList<>();
-            for (int i = 0; i < 3; i++) {
-                simulation.at(5_000 + i * 6_000L, () -> lines.add(new Line(simulation).submit()));
-            }
-            simulation.run(40);
-            trouble.accept(lines);
-            simulation.at((long) (1_000 * (seconds - Workloads.CALM_S)), simulation.invariants::troublesAreOver);
-            simulation.run(seconds);
-            simulation.invariants.dayIsOver();
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            for (Line line : lines) {
-                for (SimulatedUsers.Job job : line.all) {
-                    assertTrue(
-                            List.of("done", "aborted").contains(job.status()),
-                            "seed " + seed + ": " + job.jobId() + " is " + job.status());
-                }
+    private static void lines(int seed, double seconds, Consumer<List<Line>> trouble) {
+        Simulation simulation = new Simulation(seed);
+        List<Line> lines = new ArrayList<>();
+        for (int i = 0; i < 3; i++) {
+            simulation.at(5_000 + i * 6_000L, () -> lines.add(new Line(simulation).submit()));
+        }
+        simulation.run(40);
+        trouble.accept(lines);
+        simulation.at((long) (1_000 * (seconds - Workloads.CALM_S)), simulation.invariants::troublesAreOver);
+        simulation.run(seconds);
+        simulation.invariants.dayIsOver();
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        for (Line line : lines) {
+            for (SimulatedUsers.Job job : line.all) {
+                assertTrue(
+                        List.of("done", "aborted").contains(job.status()),
+                        "seed " + seed + ": " + job.jobId() + " is " + job.status());
             }
         }
     }
@@ -106,38 +105,40 @@
         }
     }
 
-    @Test
-    void aLineIsDoneStageAfterStage() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(5);
-            Line line = new Line(simulation).submit();
-            simulation.run(20);
-            assertEquals("pending", line.deliver.status());
-            simulation.run(200);
-            Workloads.everyJobIsDone(simulation, seed);
-        }
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aLineIsDoneStageAfterStage(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(5);
+        Line line = new Line(simulation).submit();
+        simulation.run(20);
+        assertEquals("pending", line.deliver.status());
+        simulation.run(200);
+        Workloads.everyJobIsDone(simulation, seed);
     }
 
-    @Test
-    void theRootIsCancelledAndAllAfterItWithIt() {
-        lines(320, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theRootIsCancelledAndAllAfterItWithIt(int seed) {
+        lines(seed, 320, lines -> {
             lines.get(1).simulation.users.cancel(lines.get(1).check);
             allAborted(lines.get(1));
         });
     }
 
-    @Test
-    void aStageInTheMiddleIsCancelled() {
-        lines(320, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aStageInTheMiddleIsCancelled(int seed) {
+        lines(seed, 320, lines -> {
             lines.get(2).simulation.users.cancel(lines.get(2).resize.get(1));
             allAborted(lines.get(2));
         });
     }
 
-    @Test
-    void aDependentIsCancelledAndItsPrerequisitesGoOn() {
-        lines(320, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aDependentIsCancelledAndItsPrerequisitesGoOn(int seed) {
+        lines(seed, 320, lines -> {
             Line line = lines.get(2);
             line.simulation.users.cancel(line.merge);
             line.simulation.at(150_000, () -> {
@@ -147,14 +148,16 @@
         });
     }
 
-    @Test
-    void cancellationsMeetTheEndsOfPrerequisites() {
-        lines(320, lines -> lines.get(0).simulation.users.cancelAtEnd(0.5, 60));
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void cancellationsMeetTheEndsOfPrerequisites(int seed) {
+        lines(seed, 320, lines -> lines.get(0).simulation.users.cancelAtEnd(0.5, 60));
     }
 
-    @Test
-    void theLeaderEndsWhileStagesEnd() {
-        lines(420, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderEndsWhileStagesEnd(int seed) {
+        lines(seed, 420, lines -> {
             Simulation simulation = lines.get(0).simulation;
             for (int i = 0; i < 6; i++) {
                 simulation.at(i * 9_000L, () -> simulation.crashFor(leader(simulation), 4));
@@ -162,9 +165,10 @@
         });
     }
 
-    @Test
-    void theRootIsCancelledDuringAnElection() {
-        lines(420, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theRootIsCancelledDuringAnElection(int seed) {
+        lines(seed, 420, lines -> {
             Simulation simulation = lines.get(0).simulation;
             simulation.crashFor(leader(simulation), 8);
             simulation.at(300, () -> simulation.users.cancel(lines.get(1).check));
@@ -175,9 +179,10 @@
     }
 
     /** Nobody may be told that a job waits, once the outage is over, when one before it has long been cancelled. */
-    @Test
-    void theRootIsCancelledJustBeforeAnOutageLongerThanCancelS() {
-        lines(500, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theRootIsCancelledJustBeforeAnOutageLongerThanCancelS(int seed) {
+        lines(seed, 500, lines -> {
             Simulation simulation = lines.get(0).simulation;
             simulation.users.cancel(lines.get(1).check);
             simulation.users.cancel(lines.get(2).resize.get(0));
@@ -185,9 +190,10 @@
         });
     }
 
-    @Test
-    void aCancellationIsConfirmedWhileTheLeaderAloneIsRefusedAndAllAreRefusedThen() {
-        lines(500, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aCancellationIsConfirmedWhileTheLeaderAloneIsRefusedAndAllAreRefusedThen(int seed) {
+        lines(seed, 500, lines -> {
             Simulation simulation = lines.get(0).simulation;
             simulation.store.refuse(leader(simulation), 14);
             simulation.at(300, () -> simulation.users.cancel(lines.get(1).check));
@@ -196,9 +202,10 @@
         });
     }
 
-    @Test
-    void aControllerIsCutOffFromTheStateServiceWhileStagesEndAndOneIsCancelled() {
-        lines(420, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aControllerIsCutOffFromTheStateServiceWhileStagesEndAndOneIsCancelled(int seed) {
+        lines(seed, 420, lines -> {
             Simulation simulation = lines.get(0).simulation;
             String leader = leader(simulation);
             simulation.cut(leader, "state", Simulation.Cut.HOLD);
@@ -208,9 +215,10 @@
         });
     }
 
-    @Test
-    void answersAreLostAndTransactionsComeLateWhileStagesEnd() {
-        lines(420, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void answersAreLostAndTransactionsComeLateWhileStagesEnd(int seed) {
+        lines(seed, 420, lines -> {
             Simulation simulation = lines.get(0).simulation;
             simulation.store.lateWrites(0.25, 60);
             simulation.at(10_000, () -> simulation.store.answersToLose = 5);
@@ -219,32 +227,30 @@
         });
     }
 
-    @Test
-    void theLimitsAreLoweredInTheMiddleOfAllThis() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed, 8);
-            simulation.announceLimits(2_048, 4, 28);
-            simulation.run(3);
-            SimulatedUsers.Job wide = simulation.users.submit(simulation.users.job("blue", "batch", 900, 0.5, 40));
-            List<Line> lines = new ArrayList<>();
-            for (int i = 0; i < 3; i++) {
-                simulation.at(5_000 + i * 6_000L, () -> lines.add(new Line(simulation).submit()));
-            }
-            simulation.run(25);
-            simulation.store.lowerLimits(2_048, 4);
-            simulation.at(5_000, () -> simulation.users.cancel(lines.get(0).merge));
-            simulation.at(12_000, () -> simulation.crashFor(leader(simulation), 4));
-            simulation.at(60_000, simulation.invariants::troublesAreOver);
-            simulation.run(420);
-            simulation.invariants.dayIsOver();
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            assertEquals("done", wide.status(), "seed " + seed);
-            assertEquals("aborted", lines.get(0).deliver.status(), "seed " + seed);
-            assertEquals("done", lines.get(2).deliver.status(), "seed " + seed);
-            // Each of the controllers may find out once, and a batch under way then fails with it.
-            assertTrue(
-                    simulation.store.overLimit <= 12, "seed " + seed + ": " + simulation.store.overLimit + " refused");
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLimitsAreLoweredInTheMiddleOfAllThis(int seed) {
+        Simulation simulation = new Simulation(seed, 8);
+        simulation.announceLimits(2_048, 4, 28);
+        simulation.run(3);
+        SimulatedUsers.Job wide = simulation.users.submit(simulation.users.job("blue", "batch", 900, 0.5, 40));
+        List<Line> lines = new ArrayList<>();
+        for (int i = 0; i < 3; i++) {
+            simulation.at(5_000 + i * 6_000L, () -> lines.add(new Line(simulation).submit()));
         }
+        simulation.run(25);
+        simulation.store.lowerLimits(2_048, 4);
+        simulation.at(5_000, () -> simulation.users.cancel(lines.get(0).merge));
+        simulation.at(12_000, () -> simulation.crashFor(leader(simulation), 4));
+        simulation.at(60_000, simulation.invariants::troublesAreOver);
+        simulation.run(420);
+        simulation.invariants.dayIsOver();
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertEquals("done", wide.status(), "seed " + seed);
+        assertEquals("aborted", lines.get(0).deliver.status(), "seed " + seed);
+        assertEquals("done", lines.get(2).deliver.status(), "seed " + seed);
+        // Each of the controllers may find out once, and a batch under way then fails with it.
+        assertTrue(simulation.store.overLimit <= 12, "seed " + seed + ": " + simulation.store.overLimit + " refused");
     }
 
     /** A day that begins with a value of production's that is twice as large as the limits of after the upgrade. */
@@ -267,77 +273,70 @@
         return wide;
     }
 
-    @Test
-    void aValueLargerThanTheLoweredLimitsIsWrittenOnceItFits() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed, 16);
-            SimulatedUsers.Job wide = tooLarge(simulation);
-            SimulatedUsers.Job other = simulation.users.submit(simulation.users.job("red", "batch", 4, 1, 5));
-            simulation.run(40);
-            assertEquals("done", other.status(), "seed " + seed);
-            simulation.run(300);
-            assertEquals("done", wide.status(), "seed " + seed);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            assertTrue(
-                    simulation.store.overLimit <= 4, "seed " + seed + ": " + simulation.store.overLimit + " refused");
-        }
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aValueLargerThanTheLoweredLimitsIsWrittenOnceItFits(int seed) {
+        Simulation simulation = new Simulation(seed, 16);
+        SimulatedUsers.Job wide = tooLarge(simulation);
+        SimulatedUsers.Job other = simulation.users.submit(simulation.users.job("red", "batch", 4, 1, 5));
+        simulation.run(40);
+        assertEquals("done", other.status(), "seed " + seed);
+        simulation.run(300);
+        assertEquals("done", wide.status(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertTrue(simulation.store.overLimit <= 4, "seed " + seed + ": " + simulation.store.overLimit + " refused");
     }
 
     /** Placements that fill the present limit would be values that nobody can write any more. */
-    @Test
-    void placementsLeaveRoomUnderTheAnnouncedLimits() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed, 16);
-            simulation.cloud.capacity = 40;
-            simulation.announceLimits(900, 4, 28);
-            simulation.run(3);
-            SimulatedUsers.Job wide = simulation.users.submit(
-                    simulation.users.job("blue", "batch", 1_500, 0.5, 30).endingApart(10));
-            simulation.run(30);
-            int bytes = Json.bytes(simulation.store.value("job/" + wide.jobId())).length;
-            assertTrue(bytes > 500 && bytes <= 900, "seed " + seed + ": " + bytes + " bytes");
-            simulation.store.lowerLimits(900, 4);
-            simulation.run(400);
-            assertEquals("done", wide.status(), "seed " + seed);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        }
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void placementsLeaveRoomUnderTheAnnouncedLimits(int seed) {
+        Simulation simulation = new Simulation(seed, 16);
+        simulation.cloud.capacity = 40;
+        simulation.announceLimits(900, 4, 28);
+        simulation.run(3);
+        SimulatedUsers.Job wide = simulation.users.submit(
+                simulation.users.job("blue", "batch", 1_500, 0.5, 30).endingApart(10));
+        simulation.run(30);
+        int bytes = Json.bytes(simulation.store.value("job/" + wide.jobId())).length;
+        assertTrue(bytes > 500 && bytes <= 900, "seed " + seed + ": " + bytes + " bytes");
+        simulation.store.lowerLimits(900, 4);
+        simulation.run(400);
+        assertEquals("done", wide.status(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
     }
 
-    @Test
-    void aValueLargerThanTheLoweredLimitsIsCancelled() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed, 16);
-            SimulatedUsers.Job wide = tooLarge(simulation);
-            simulation.users.cancel(wide);
-            simulation.run(8);
-            assertEquals("aborted", wide.status(), "seed " + seed);
-            assertEquals(
-                    1_285,
-                    simulation
-                            .store
-                            .value("job/" + wide.jobId())
-                            .path("unlisted")
-                            .asInt());
-            // Until its attempts are gone they count against the team's limit of 1,024 cores.
-            SimulatedUsers.Job next = simulation.users.submit(simulation.users.job("blue", "batch", 1_600, 0.5, 200));
-            simulation.run(20);
-            int placed = Pipeline.decode(simulation.store.value("job/" + next.jobId()))
-                    .attempts()
-                    .size();
-            assertTrue(placed > 0 && placed <= 2_048 - 1_285, "seed " + seed + ": " + placed + " placed");
-            simulation.run(60);
-            assertEquals(
-                    "aborted",
-                    simulation.store.value("final/" + wide.jobId()).path("end").asText());
-            assertEquals("aborted", wide.status(), "seed " + seed);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        }
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aValueLargerThanTheLoweredLimitsIsCancelled(int seed) {
+        Simulation simulation = new Simulation(seed, 16);
+        SimulatedUsers.Job wide = tooLarge(simulation);
+        simulation.users.cancel(wide);
+        simulation.run(8);
+        assertEquals("aborted", wide.status(), "seed " + seed);
+        assertEquals(
+                1_285,
+                simulation.store.value("job/" + wide.jobId()).path("unlisted").asInt());
+        // Until its attempts are gone they count against the team's limit of 1,024 cores.
+        SimulatedUsers.Job next = simulation.users.submit(simulation.users.job("blue", "batch", 1_600, 0.5, 200));
+        simulation.run(20);
+        int placed = Pipeline.decode(simulation.store.value("job/" + next.jobId()))
+                .attempts()
+                .size();
+        assertTrue(placed > 0 && placed <= 2_048 - 1_285, "seed " + seed + ": " + placed + " placed");
+        simulation.run(60);
+        assertEquals(
+                "aborted",
+                simulation.store.value("final/" + wide.jobId()).path("end").asText());
+        assertEquals("aborted", wide.status(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
     }
 
     /** A leader that can't read the jobs writes nothing: each node still tells of the cancelled job before a waiting one. */
-    @Test
-    void dependentsAreCancelledAlsoWhileNoLeaderCanReadTheJobs() {
-        lines(500, lines -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void dependentsAreCancelledAlsoWhileNoLeaderCanReadTheJobs(int seed) {
+        lines(seed, 500, lines -> {
             Simulation simulation = lines.get(0).simulation;
             simulation.store.refuseListings(90);
             NODES.forEach(node -> simulation.crashFor(node, 0.3));
@@ -453,79 +452,77 @@
     }
 
     /** Until every controller is known to read it, a value that older versions can't read is not written. */
-    @Test
-    void jobsWithPrerequisitesAreTakenOnceAllControllersAreUpgraded() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            NODES.forEach(simulation::startOlder);
-            simulation.run(5);
-            for (int n = 0; n < 4; n++) {
-                simulation.users.submit(Workloads.jobOf(simulation, n));
-            }
-            for (int i = 0; i < 3; i++) {
-                String node = NODES.get(i);
-                simulation.at(5_000 + i * 10_000L, () -> simulation.upgrade(node, 4));
-            }
-            // A process that ends before its turn comes back as it was; one that was upgraded stays so.
-            simulation.at(8_000, () -> simulation.crashFor(NODES.get(2), 1));
-            simulation.at(20_000, () -> simulation.crashFor(NODES.get(0), 1));
-            simulation.run(22);
-            SimulatedUsers.Job root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 10));
-            simulation.run(1);
-            SimulatedUsers.Job early = simulation.users.submit(
-                    simulation.users.job("blue", "batch", 1, 1, 5).after(root));
-            simulation.run(5);
-            assertFalse(early.accepted(), "seed " + seed);
-            simulation.run(120);
-            assertEquals("done", early.status(), "seed " + seed);
-            Workloads.everyJobIsDone(simulation, seed);
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void jobsWithPrerequisitesAreTakenOnceAllControllersAreUpgraded(int seed) {
+        Simulation simulation = new Simulation(seed);
+        NODES.forEach(simulation::startOlder);
+        simulation.run(5);
+        for (int n = 0; n < 4; n++) {
+            simulation.users.submit(Workloads.jobOf(simulation, n));
+        }
+        for (int i = 0; i < 3; i++) {
+            String node = NODES.get(i);
+            simulation.at(5_000 + i * 10_000L, () -> simulation.upgrade(node, 4));
         }
+        // A process that ends before its turn comes back as it was; one that was upgraded stays so.
+        simulation.at(8_000, () -> simulation.crashFor(NODES.get(2), 1));
+        simulation.at(20_000, () -> simulation.crashFor(NODES.get(0), 1));
+        simulation.run(22);
+        SimulatedUsers.Job root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 10));
+        simulation.run(1);
+        SimulatedUsers.Job early = simulation.users.submit(
+                simulation.users.job("blue", "batch", 1, 1, 5).after(root));
+        simulation.run(5);
+        assertFalse(early.accepted(), "seed " + seed);
+        simulation.run(120);
+        assertEquals("done", early.status(), "seed " + seed);
+        Workloads.everyJobIsDone(simulation, seed);
     }
 
     /** Both versions serve, troubles come, and leadership passes between them in both directions. */
-    @Test
-    void aRollIsServedThroughCrashesCutsAndAnOutageAndLinesAreServedAfterIt() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            NODES.forEach(simulation::startOlder);
-            for (int i = 0; i < 12; i++) {
-                int n = i;
-                simulation.at(3_000 + i * 5_000L, () -> simulation.users.submit(Workloads.jobOf(simulation, n)));
-            }
-            simulation.run(30);
-            for (int i = 0; i < 3; i++) {
-                String node = NODES.get(i);
-                simulation.at(i * 12_000L, () -> simulation.upgrade(node, 4));
-            }
-            simulation.at(6_000, () -> simulation.crashFor(leader(simulation), 0.3));
-            simulation.at(15_000, () -> simulation.cutOneWay(leader(simulation), "state", Simulation.Cut.LOSE));
-            for (String node : NODES) {
-                simulation.at(27_000, () -> simulation.cutOneWay(node, "state", Simulation.Cut.NONE));
-            }
-            simulation.at(18_000, () -> simulation.users.jobs().forEach(job -> {
-                if (job.accepted() && job.tasks() == 12 && !job.status().equals("done")) {
-                    simulation.users.cancel(job);
-                }
-            }));
-            simulation.at(28_000, () -> simulation.store.outage(20));
-            simulation.at(30_000, () -> simulation.crashFor(leader(simulation), 2));
-            simulation.run(55);
-            List<Line> lines = new ArrayList<>();
-            for (int i = 0; i < 2; i++) {
-                lines.add(new Line(simulation).submit());
-                simulation.run(12);
-            }
-            simulation.crashFor(leader(simulation), 3);
-            simulation.users.cancel(lines.get(0).check);
-            simulation.at(20_000, simulation.invariants::troublesAreOver);
-            simulation.run(250);
-            simulation.invariants.dayIsOver();
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            for (SimulatedUsers.Job job : simulation.users.jobs()) {
-                assertTrue(List.of("done", "aborted").contains(job.status()), "seed " + seed + ": " + job.jobId());
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aRollIsServedThroughCrashesCutsAndAnOutageAndLinesAreServedAfterIt(int seed) {
+        Simulation simulation = new Simulation(seed);
+        NODES.forEach(simulation::startOlder);
+        for (int i = 0; i < 12; i++) {
+            int n = i;
+            simulation.at(3_000 + i * 5_000L, () -> simulation.users.submit(Workloads.jobOf(simulation, n)));
+        }
+        simulation.run(30);
+        for (int i = 0; i < 3; i++) {
+            String node = NODES.get(i);
+            simulation.at(i * 12_000L, () -> simulation.upgrade(node, 4));
+        }
+        simulation.at(6_000, () -> simulation.crashFor(leader(simulation), 0.3));
+        simulation.at(15_000, () -> simulation.cutOneWay(leader(simulation), "state", Simulation.Cut.LOSE));
+        for (String node : NODES) {
+            simulation.at(27_000, () -> simulation.cutOneWay(node, "state", Simulation.Cut.NONE));
+        }
+        simulation.at(18_000, () -> simulation.users.jobs().forEach(job -> {
+            if (job.accepted() && job.tasks() == 12 && !job.status().equals("done")) {
+                simulation.users.cancel(job);
             }
-            assertEquals("done", lines.get(1).deliver.status(), "seed " + seed);
+        }));
+        simulation.at(28_000, () -> simulation.store.outage(20));
+        simulation.at(30_000, () -> simulation.crashFor(leader(simulation), 2));
+        simulation.run(55);
+        List<Line> lines = new ArrayList<>();
+        for (int i = 0; i < 2; i++) {
+            lines.add(new Line(simulation).submit());
+            simulation.run(12);
+        }
+        simulation.crashFor(leader(simulation), 3);
+        simulation.users.cancel(lines.get(0).check);
+        simulation.at(20_000, simulation.invariants::troublesAreOver);
+        simulation.run(250);
+        simulation.invariants.dayIsOver();
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        for (SimulatedUsers.Job job : simulation.users.jobs()) {
+            assertTrue(List.of("done", "aborted").contains(job.status()), "seed " + seed + ": " + job.jobId());
         }
+        assertEquals("done", lines.get(1).deliver.status(), "seed " + seed);
     }
 
     /** However many names a body holds, it is taken or turned away at once with the bound. */
--- a/src/test/java/org/spoolline/simulation/LeaderAloneRefusedTest.java
+++ b/src/test/java/org/spoolline/simulation/LeaderAloneRefusedTest.java
@@ -2,13 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.spoolline.simulation.Workloads.SEEDS;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /**
  * The leader alone is cut from news of cancellations that others confirm; then everybody is, for longer than cancel_s,
@@ -63,29 +63,29 @@
     }
 
     /** Plays the troubles for so long, with several seeds: every cancellation is confirmed, and no rule breaks. */
-    private static void play(double seconds, BiConsumer<Scene, Simulation> troubles) {
-        for (int seed = 1; seed <= 2 * SEEDS; seed++) {
-            Scene scene = new Scene(seed);
-            troubles.accept(scene, scene.simulation);
-            scene.simulation.run(seconds);
-            assertEquals(List.of(), scene.simulation.invariants.broken(), "seed " + seed);
-            assertEquals(scene.jobs.size(), scene.confirmed(), "seed " + seed);
-        }
+    private static void play(int seed, double seconds, BiConsumer<Scene, Simulation> troubles) {
+        Scene scene = new Scene(seed);
+        troubles.accept(scene, scene.simulation);
+        scene.simulation.run(seconds);
+        assertEquals(List.of(), scene.simulation.invariants.broken(), "seed " + seed);
+        assertEquals(scene.jobs.size(), scene.confirmed(), "seed " + seed);
     }
 
-    @Test
-    void theLeaderAloneIsRefusedAndThenEverybodyForLongerThanACancellationMayTake() {
-        gap(false);
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void theLeaderAloneIsRefusedAndThenEverybodyForLongerThanACancellationMayTake(int seed) {
+        gap(seed, false);
     }
 
     /** A leader that a peer tells of the cancellation ends the tasks without having seen it in the state service. */
-    @Test
-    void aLeaderThatItsPeersReachEndsTheTasksInTheOutage() {
-        gap(true);
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void aLeaderThatItsPeersReachEndsTheTasksInTheOutage(int seed) {
+        gap(seed, true);
     }
 
-    private static void gap(boolean peersTalk) {
-        play(160, (scene, simulation) -> {
+    private static void gap(int seed, boolean peersTalk) {
+        play(seed, 160, (scene, simulation) -> {
             for (String node : simulation.nodes.keySet()) {
                 if (!peersTalk && !node.equals(scene.leader)) {
                     simulation.cut(node, scene.leader, Simulation.Cut.LOSE);
@@ -110,9 +110,10 @@
     }
 
     /** Renewals got through while the watch was still: an old view kept its leadership and the workers' leases. */
-    @Test
-    void renewalsGetThroughButNoNewsOfCancellationsAndThenNothingDoes() {
-        play(170, (scene, simulation) -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void renewalsGetThroughButNoNewsOfCancellationsAndThenNothingDoes(int seed) {
+        play(seed, 170, (scene, simulation) -> {
             simulation.store.loseWatches(scene.leader, 90);
             simulation.at(2_000, scene::cancelAll);
             // By then the confirmation is old; only the renewals of leadership are young.
@@ -124,9 +125,10 @@
     }
 
     /** No spell may set the clock of an earlier confirmation anew, also not by a renewal between two of them. */
-    @Test
-    void severalSpellsInARowWithRenewalsBetween() {
-        play(200, (scene, simulation) -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void severalSpellsInARowWithRenewalsBetween(int seed) {
+        play(seed, 200, (scene, simulation) -> {
             simulation.store.loseWatches(scene.leader, 120);
             simulation.at(300, scene::cancelAll);
             for (int i = 0; i < 6; i++) {
@@ -140,9 +142,10 @@
     }
 
     /** Each new leader once renewed the leases of whoever reported before it had read which jobs are cancelled. */
-    @Test
-    void leadersThatReadNothingFollowOneAnother() {
-        play(220, (scene, simulation) -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.TWICE_AS_MANY)
+    void leadersThatReadNothingFollowOneAnother(int seed) {
+        play(seed, 220, (scene, simulation) -> {
             simulation.store.refuseListings(100);
             simulation.crashFor(scene.leader, 0.3);
             simulation.at(100, scene::cancelAll);
--- a/src/test/java/org/spoolline/simulation/ScenariosTest.java
+++ b/src/test/java/org/spoolline/simulation/ScenariosTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.spoolline.simulation.Workloads.SEEDS;
 import static org.spoolline.simulation.Workloads.busy;
 import static org.spoolline.simulation.Workloads.day;
 import static org.spoolline.simulation.Workloads.everyJobIsDone;
@@ -13,6 +12,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
@@ -36,19 +37,22 @@
         assertEquals(days.get(0), days.get(1));
     }
 
-    @Test
-    void aQuietDayIsServedInFull() {
-        day(200, simulation -> {});
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aQuietDayIsServedInFull(int seed) {
+        day(seed, 200, simulation -> {});
     }
 
-    @Test
-    void theLeaderCrashesAndAnotherGoesOn() {
-        day(260, simulation -> simulation.crashFor(leader(simulation), 6));
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderCrashesAndAnotherGoesOn(int seed) {
+        day(seed, 260, simulation -> simulation.crashFor(leader(simulation), 6));
     }
 
-    @Test
-    void theLeaderCrashesAgainRightAfterItsReturn() {
-        day(260, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderCrashesAgainRightAfterItsReturn(int seed) {
+        day(seed, 260, simulation -> {
             String leader = leader(simulation);
             simulation.crashFor(leader, 0.2);
             simulation.at(500, () -> simulation.crashFor(leader, 0.2));
@@ -56,14 +60,16 @@
         });
     }
 
-    @Test
-    void allControllersCrashAtOnce() {
-        day(260, simulation -> List.of("node-0", "node-1", "node-2").forEach(n -> simulation.crashFor(n, 5)));
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void allControllersCrashAtOnce(int seed) {
+        day(seed, 260, simulation -> List.of("node-0", "node-1", "node-2").forEach(n -> simulation.crashFor(n, 5)));
     }
 
-    @Test
-    void controllersAreRestartedInARoll() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void controllersAreRestartedInARoll(int seed) {
+        day(seed, 300, simulation -> {
             for (int i = 0; i < 3; i++) {
                 String node = "node-" + i;
                 simulation.at(i * 15_000L, () -> simulation.crashFor(node, 5));
@@ -71,27 +77,30 @@
         });
     }
 
-    @Test
-    void theLeaderLosesTheStateServiceAlone() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderLosesTheStateServiceAlone(int seed) {
+        day(seed, 300, simulation -> {
             String leader = leader(simulation);
             simulation.cut(leader, "state", Simulation.Cut.LOSE);
             simulation.at(30_000, () -> simulation.cut(leader, "state", Simulation.Cut.NONE));
         });
     }
 
-    @Test
-    void theLeadersPacketsToTheStateServiceArriveMuchLater() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeadersPacketsToTheStateServiceArriveMuchLater(int seed) {
+        day(seed, 300, simulation -> {
             String leader = leader(simulation);
             simulation.cut(leader, "state", Simulation.Cut.HOLD);
             simulation.at(25_000, () -> simulation.cut(leader, "state", Simulation.Cut.NONE));
         });
     }
 
-    @Test
-    void theLeaderIsCutOffFromItsPeersAndTheStateButNotFromTheWorkers() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderIsCutOffFromItsPeersAndTheStateButNotFromTheWorkers(int seed) {
+        day(seed, 300, simulation -> {
             String leader = leader(simulation);
             for (String other : List.of("node-0", "node-1", "node-2", "state", "cloud")) {
                 if (!other.equals(leader)) {
@@ -103,9 +112,10 @@
     }
 
     /** A leader whom no worker reaches once kept them all waiting until their leases ended. */
-    @Test
-    void theLeaderLosesTheWorkersAloneAndGivesWay() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderLosesTheWorkersAloneAndGivesWay(int seed) {
+        day(seed, 300, simulation -> {
             String deaf = leader(simulation);
             // Machines that come up meanwhile are cut off too: a leader that hears any of them stays.
             simulation.cut(Simulation.WORKERS, deaf, Simulation.Cut.LOSE);
@@ -114,83 +124,94 @@
         });
     }
 
-    @Test
-    void theStateServiceIsOutForAWhile() {
-        day(260, simulation -> simulation.store.outage(20));
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theStateServiceIsOutForAWhile(int seed) {
+        day(seed, 260, simulation -> simulation.store.outage(20));
     }
 
-    @Test
-    void theStateServiceIsOutForLong() {
-        day(420, simulation -> simulation.store.outage(120));
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theStateServiceIsOutForLong(int seed) {
+        day(seed, 420, simulation -> simulation.store.outage(120));
     }
 
-    @Test
-    void answersOfTheStateServiceAreLost() {
-        day(260, simulation -> simulation.store.answersToLose = 6);
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void answersOfTheStateServiceAreLost(int seed) {
+        day(seed, 260, simulation -> simulation.store.answersToLose = 6);
     }
 
-    @Test
-    void transactionsAreAppliedLate() {
-        day(260, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void transactionsAreAppliedLate(int seed) {
+        day(seed, 260, simulation -> {
             simulation.store.commitsToDelay = 5;
             simulation.at(20_000, () -> simulation.store.commitsToDelay = 3);
         });
     }
 
-    @Test
-    void theStateServiceAnswersSlowly() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theStateServiceAnswersSlowly(int seed) {
+        day(seed, 300, simulation -> {
             simulation.slow("state", true);
             simulation.at(60_000, () -> simulation.slow("state", false));
         });
     }
 
-    @Test
-    void machinesBootLateOrNever() {
-        day(400, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void machinesBootLateOrNever(int seed) {
+        day(seed, 400, simulation -> {
             simulation.cloud.bootS = 45;
             simulation.cloud.neverUp = 3;
         });
     }
 
-    @Test
-    void jobsComeInABurst() {
-        day(400, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void jobsComeInABurst(int seed) {
+        day(seed, 400, simulation -> {
             for (int i = 0; i < 24; i++) {
                 simulation.users.submit(jobOf(simulation, i));
             }
         });
     }
 
-    @Test
-    void estimatesAreWrongThroughout() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void estimatesAreWrongThroughout(int seed) {
+        day(seed, 300, simulation -> {
             for (int i = 0; i < 8; i++) {
                 simulation.users.submit(jobOf(simulation, i).with("expectS", i % 2 == 0 ? 0.5 : 900.0));
             }
         });
     }
 
-    @Test
-    void machinesDie() {
-        day(260, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void machinesDie(int seed) {
+        day(seed, 260, simulation -> {
             busy(simulation).die();
             simulation.at(10_000, () -> busy(simulation).die());
         });
     }
 
-    @Test
-    void aMachineHangsAndResumesWithinItsLeaseOrAfterIt() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aMachineHangsAndResumesWithinItsLeaseOrAfterIt(int seed) {
+        day(seed, 300, simulation -> {
             busy(simulation).hang(9);
             simulation.at(12_000, () -> busy(simulation).hang(40));
         });
     }
 
     /** Answered reports once kept such a machine in use: its tasks were placed there again at each lease's end. */
-    @Test
-    void reportsArriveButAnswersAndCommandsDoNotReachTheMachine() {
-        day(400, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void reportsArriveButAnswersAndCommandsDoNotReachTheMachine(int seed) {
+        day(seed, 400, simulation -> {
             FakeWorker worker = busy(simulation);
             simulation.cutOneWay("node-0", worker.name, Simulation.Cut.LOSE);
             simulation.cutOneWay("node-1", worker.name, Simulation.Cut.LOSE);
@@ -201,9 +222,10 @@
         });
     }
 
-    @Test
-    void aMachineHearsNobodyForAWhileAndIsUsedAgain() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aMachineHearsNobodyForAWhileAndIsUsedAgain(int seed) {
+        day(seed, 300, simulation -> {
             FakeWorker worker = busy(simulation);
             for (String node : List.of("node-0", "node-1", "node-2")) {
                 simulation.cutOneWay(node, worker.name, Simulation.Cut.HOLD);
@@ -213,9 +235,10 @@
     }
 
     /** Late copies prove nothing and renew nothing, also when a new leader hears them first. */
-    @Test
-    void copiesOfReportsArriveLate() {
-        day(400, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void copiesOfReportsArriveLate(int seed) {
+        day(seed, 400, simulation -> {
             simulation.copyReports(45_000);
             simulation.at(15_000, () -> busy(simulation).die());
             simulation.at(30_000, () -> simulation.crashFor(leader(simulation), 4));
@@ -225,9 +248,10 @@
         });
     }
 
-    @Test
-    void copiesOfReportsOfAHangingMachineArriveAfterItsLease() {
-        day(400, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void copiesOfReportsOfAHangingMachineArriveAfterItsLease(int seed) {
+        day(seed, 400, simulation -> {
             simulation.copyReports(30_000);
             busy(simulation).hang(25);
             simulation.at(40_000, () -> busy(simulation).hang(9));
@@ -235,9 +259,10 @@
         });
     }
 
-    @Test
-    void aProcessIsBackWithinAFractionOfASecondInTheMiddleOfAnElection() {
-        day(300, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aProcessIsBackWithinAFractionOfASecondInTheMiddleOfAnElection(int seed) {
+        day(seed, 300, simulation -> {
             String first = leader(simulation);
             simulation.crash(first);
             for (int i = 0; i < 12; i++) {
@@ -250,9 +275,10 @@
     }
 
     /** The worker of a machine that is back at once knows nothing of its tasks, tokens and messages of before. */
-    @Test
-    void machinesAreBackWithinAFractionOfASecond() {
-        day(400, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void machinesAreBackWithinAFractionOfASecond(int seed) {
+        day(seed, 400, simulation -> {
             simulation.copyReports(30_000);
             for (int i = 0; i < 6; i++) {
                 simulation.at(i * 9_000L, () -> busy(simulation).dieAndBeBack(0.3));
@@ -264,9 +290,10 @@
     }
 
     /** On waking, nothing that was queued may be answered on the strength of a leadership that has ended. */
-    @Test
-    void theLeaderStandsStillForLongerThanALeaseWhileItsClocksRunOn() {
-        day(400, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderStandsStillForLongerThanALeaseWhileItsClocksRunOn(int seed) {
+        day(seed, 400, simulation -> {
             String first = leader(simulation);
             simulation.freeze(first, 24);
             simulation.at(60_000, () -> simulation.freeze(leader(simulation), 3));
@@ -403,32 +430,32 @@
     }
 
     /** The others' workers must not be kept from a new leader by one that has lost everything but them. */
-    @Test
-    void workersOfALeaderWithoutStateAndPeersFindTheNewOne() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(3);
-            simulation.users.submit(simulation.users.job("blue", "batch", 6, 1, 200));
-            simulation.run(37);
-            String old = leader(simulation);
-            for (String other : List.of("node-0", "node-1", "node-2", "state")) {
-                if (!other.equals(old)) {
-                    simulation.cut(old, other, Simulation.Cut.LOSE);
-                }
-            }
-            // Its own time to answer them ends after some 24 s.
-            simulation.run(19);
-            assertFalse(old.equals(simulation.leader()));
-            for (FakeWorker worker : simulation.workers().values()) {
-                assertTrue(worker.dead() || !worker.reportsTo().equals(old), "seed " + seed + ": " + worker.name);
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void workersOfALeaderWithoutStateAndPeersFindTheNewOne(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(3);
+        simulation.users.submit(simulation.users.job("blue", "batch", 6, 1, 200));
+        simulation.run(37);
+        String old = leader(simulation);
+        for (String other : List.of("node-0", "node-1", "node-2", "state")) {
+            if (!other.equals(old)) {
+                simulation.cut(old, other, Simulation.Cut.LOSE);
             }
-            assertEquals(List.of(), simulation.invariants.broken());
         }
+        // Its own time to answer them ends after some 24 s.
+        simulation.run(19);
+        assertFalse(old.equals(simulation.leader()));
+        for (FakeWorker worker : simulation.workers().values()) {
+            assertTrue(worker.dead() || !worker.reportsTo().equals(old), "seed " + seed + ": " + worker.name);
+        }
+        assertEquals(List.of(), simulation.invariants.broken());
     }
 
-    @Test
-    void aDeafMachineBesideLateCopiesAndALeaderThatLosesStateAndPeers() {
-        day(500, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aDeafMachineBesideLateCopiesAndALeaderThatLosesStateAndPeers(int seed) {
+        day(seed, 500, simulation -> {
             simulation.copyReports(30_000);
             FakeWorker worker = busy(simulation);
             String old = leader(simulation);
@@ -446,146 +473,142 @@
     }
 
     /** Wide and narrow, urgent and not: nobody's largest job waits for a stream of small ones. */
-    @Test
-    void theLargestJobsBeginBesideAStreamOfSmallOnes() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed, 16);
-            simulation.cloud.capacity = 20;
-            simulation.run(3);
-            for (int i = 0; i < 100; i++) {
-                int n = i;
-                simulation.at(
-                        i * 1_500L,
-                        () -> simulation.users.submit(simulation
-                                .users
-                                .job(n % 2 == 0 ? "blue" : "red", "batch", 6, 1, 12)
-                                .with("lane", "small")
-                                .with("urgency", n % 3 == 0 ? "urgent" : "standard")));
-            }
-            simulation.at(
-                    10_000,
-                    () -> simulation.users.submit(simulation
-                            .users
-                            .job("blue", "group", 24, 7, 40)
-                            .with("lane", "gang")
-                            .with("samePlace", true)
-                            .with("urgency", "urgent")
-                            .with("bookmarkS", 5.0)));
-            simulation.at(
-                    12_000,
-                    () -> simulation.users.submit(
-                            simulation.users.job("blue", "batch", 1_800, 1, 10).with("lane", "wide")));
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLargestJobsBeginBesideAStreamOfSmallOnes(int seed) {
+        Simulation simulation = new Simulation(seed, 16);
+        simulation.cloud.capacity = 20;
+        simulation.run(3);
+        for (int i = 0; i < 100; i++) {
+            int n = i;
             simulation.at(
-                    14_000,
+                    i * 1_500L,
                     () -> simulation.users.submit(simulation
                             .users
-                            .job("red", "group", 32, 16, 20)
-                            .with("lane", "limit")
-                            .with("samePlace", false)));
-            simulation.run(280);
-            simulation.invariants.troublesAreOver();
-            simulation.run(150);
-            everyJobIsDone(simulation, seed);
+                            .job(n % 2 == 0 ? "blue" : "red", "batch", 6, 1, 12)
+                            .with("lane", "small")
+                            .with("urgency", n % 3 == 0 ? "urgent" : "standard")));
         }
+        simulation.at(
+                10_000,
+                () -> simulation.users.submit(simulation
+                        .users
+                        .job("blue", "group", 24, 7, 40)
+                        .with("lane", "gang")
+                        .with("samePlace", true)
+                        .with("urgency", "urgent")
+                        .with("bookmarkS", 5.0)));
+        simulation.at(
+                12_000,
+                () -> simulation.users.submit(
+                        simulation.users.job("blue", "batch", 1_800, 1, 10).with("lane", "wide")));
+        simulation.at(
+                14_000,
+                () -> simulation.users.submit(simulation
+                        .users
+                        .job("red", "group", 32, 16, 20)
+                        .with("lane", "limit")
+                        .with("samePlace", false)));
+        simulation.run(280);
+        simulation.invariants.troublesAreOver();
+        simulation.run(150);
+        everyJobIsDone(simulation, seed);
     }
 
     /**
      * Members that had their image gave up waiting for those that still fetched, lost their places to others, fetched
      * again elsewhere, and the rest gave up in turn: such gangs once never started.
      */
-    @Test
-    void gangsWithLargeImagesStartDespiteUnevenFetches() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed, 4);
-            simulation.run(3);
-            List<SimulatedUsers.Job> gangs = new ArrayList<>();
-            for (int i = 0; i < 3; i++) {
-                gangs.add(simulation.users.submit(simulation
-                        .users
-                        .job("red", "group", 3, 7, 20)
-                        .with("samePlace", true)
-                        .with("urgency", "urgent")
-                        .with("plate", "large-" + i)
-                        .with("imageGb", 75.0)));
-            }
-            for (int i = 0; i < 50; i++) {
-                simulation.at(
-                        20_000 + i * 5_000L,
-                        () -> simulation.users.submit(simulation.users.job("blue", "batch", 8, 4, 15)));
-            }
-            simulation.at(60_000, () -> simulation.crashFor(leader(simulation), 5));
-            simulation.run(300);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            for (SimulatedUsers.Job gang : gangs) {
-                assertEquals("done", gang.status(), "seed " + seed + ": " + gang.jobId());
-            }
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void gangsWithLargeImagesStartDespiteUnevenFetches(int seed) {
+        Simulation simulation = new Simulation(seed, 4);
+        simulation.run(3);
+        List<SimulatedUsers.Job> gangs = new ArrayList<>();
+        for (int i = 0; i < 3; i++) {
+            gangs.add(simulation.users.submit(simulation
+                    .users
+                    .job("red", "group", 3, 7, 20)
+                    .with("samePlace", true)
+                    .with("urgency", "urgent")
+                    .with("plate", "large-" + i)
+                    .with("imageGb", 75.0)));
+        }
+        for (int i = 0; i < 50; i++) {
+            simulation.at(
+                    20_000 + i * 5_000L,
+                    () -> simulation.users.submit(simulation.users.job("blue", "batch", 8, 4, 15)));
+        }
+        simulation.at(60_000, () -> simulation.crashFor(leader(simulation), 5));
+        simulation.run(300);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        for (SimulatedUsers.Job gang : gangs) {
+            assertEquals("done", gang.status(), "seed " + seed + ": " + gang.jobId());
         }
     }
 
     /** Room once leaked to whatever small job came next, in the machines as in the team's limit. */
-    @Test
-    void aStreamWithoutEndKeepsNoLargeGangFromBeginning() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed, 6);
-            simulation.cloud.capacity = 12;
-            simulation.run(3);
-            for (int i = 0; i < 400; i++) {
-                simulation.at(
-                        i * 1_000L,
-                        () -> simulation.users.submit(simulation
-                                .users
-                                .job("red", "group", 1, 7, 40)
-                                .with("lane", "small")
-                                .with("urgency", "urgent")));
-                simulation.at(
-                        i * 1_000L + 500,
-                        () -> simulation.users.submit(
-                                simulation.users.job("blue", "batch", 8, 1, 15).with("lane", "stream")));
-            }
-            simulation.at(30_000, () -> {
-                simulation.users.submit(
-                        simulation.users.job("blue", "group", 24, 8, 20).with("lane", "limit"));
-                simulation.users.submit(simulation
-                        .users
-                        .job("red", "group", 12, 7, 20)
-                        .with("lane", "wide")
-                        .with("samePlace", true)
-                        .with("urgency", "urgent"));
-            });
-            simulation.run(330);
-            simulation.invariants.dayIsOver();
-            assertEquals(
-                    List.of(),
-                    simulation.invariants.broken().stream()
-                            .filter(b -> !b.contains("unserved"))
-                            .toList(),
-                    "seed " + seed);
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aStreamWithoutEndKeepsNoLargeGangFromBeginning(int seed) {
+        Simulation simulation = new Simulation(seed, 6);
+        simulation.cloud.capacity = 12;
+        simulation.run(3);
+        for (int i = 0; i < 400; i++) {
+            simulation.at(
+                    i * 1_000L,
+                    () -> simulation.users.submit(simulation
+                            .users
+                            .job("red", "group", 1, 7, 40)
+                            .with("lane", "small")
+                            .with("urgency", "urgent")));
+            simulation.at(
+                    i * 1_000L + 500,
+                    () -> simulation.users.submit(
+                            simulation.users.job("blue", "batch", 8, 1, 15).with("lane", "stream")));
         }
+        simulation.at(30_000, () -> {
+            simulation.users.submit(
+                    simulation.users.job("blue", "group", 24, 8, 20).with("lane", "limit"));
+            simulation.users.submit(simulation
+                    .users
+                    .job("red", "group", 12, 7, 20)
+                    .with("lane", "wide")
+                    .with("samePlace", true)
+                    .with("urgency", "urgent"));
+        });
+        simulation.run(330);
+        simulation.invariants.dayIsOver();
+        assertEquals(
+                List.of(),
+                simulation.invariants.broken().stream()
+                        .filter(b -> !b.contains("unserved"))
+                        .toList(),
+                "seed " + seed);
     }
 
     /** With one request for each, three polls in four were refused here, and some jobs went without any answer. */
-    @Test
-    void manyJobsShareFewRequestsToTheStateService() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed, 1, 40);
-            simulation.run(3);
-            for (int i = 0; i < 700; i++) {
-                simulation.at(
-                        i * 100L, () -> simulation.users.submit(simulation.users.job("blue", "batch", 1, 1, 600)));
-            }
-            simulation.run(90);
-            simulation.invariants.troublesAreOver();
-            simulation.run(240);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            assertTrue(
-                    simulation.users.pollsInVain * 3 < simulation.users.polls,
-                    simulation.users.pollsInVain + " of " + simulation.users.polls + " polls in vain");
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void manyJobsShareFewRequestsToTheStateService(int seed) {
+        Simulation simulation = new Simulation(seed, 1, 40);
+        simulation.run(3);
+        for (int i = 0; i < 700; i++) {
+            simulation.at(i * 100L, () -> simulation.users.submit(simulation.users.job("blue", "batch", 1, 1, 600)));
         }
-    }
-
-    @Test
-    void aMachineLosesTheNetworkAndItsReportsArriveLate() {
-        day(300, simulation -> {
+        simulation.run(90);
+        simulation.invariants.troublesAreOver();
+        simulation.run(240);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertTrue(
+                simulation.users.pollsInVain * 3 < simulation.users.polls,
+                simulation.users.pollsInVain + " of " + simulation.users.polls + " polls in vain");
+    }
+
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aMachineLosesTheNetworkAndItsReportsArriveLate(int seed) {
+        day(seed, 300, simulation -> {
             FakeWorker worker = busy(simulation);
             for (int i = 0; i < 3; i++) {
                 String node = "node-" + i;
@@ -595,74 +618,77 @@
         });
     }
 
-    @Test
-    void spotMachinesAreTakenWithNoticeAndWithout() {
-        day(260, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void spotMachinesAreTakenWithNoticeAndWithout(int seed) {
+        day(seed, 260, simulation -> {
             busy(simulation).notice(8);
             simulation.at(9_000, () -> simulation.cloud.take(busy(simulation).name));
         });
     }
 
-    @Test
-    void theCloudIsDown() {
-        day(300, simulation -> simulation.cloud.outage(40));
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theCloudIsDown(int seed) {
+        day(seed, 300, simulation -> simulation.cloud.outage(40));
     }
 
-    @Test
-    void theCloudHasFewMachinesLeft() {
-        day(500, simulation -> simulation.cloud.capacity = 1);
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theCloudHasFewMachinesLeft(int seed) {
+        day(seed, 500, simulation -> simulation.cloud.capacity = 1);
     }
 
-    @Test
-    void aMachineFailsEveryTask() {
-        day(300, simulation -> busy(simulation).sick = true);
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aMachineFailsEveryTask(int seed) {
+        day(seed, 300, simulation -> busy(simulation).sick = true);
     }
 
-    @Test
-    void theLeaderCrashesInAnOutageOfTheStateServiceWhileAMachineHangs() {
-        day(400, simulation -> {
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void theLeaderCrashesInAnOutageOfTheStateServiceWhileAMachineHangs(int seed) {
+        day(seed, 400, simulation -> {
             simulation.store.outage(30);
             busy(simulation).hang(25);
             simulation.at(5_000, () -> simulation.crashFor(leader(simulation), 4));
         });
     }
 
-    @Test
-    void usersCancelInEveryPhase() {
-        for (int seed = 1; seed <= 3 * SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(3);
-            for (int i = 0; i < 8; i++) {
-                SimulatedUsers.Job job = simulation.users.submit(jobOf(simulation, i));
-                long after = i * 4_000L + simulation.random.nextInt(3_000);
-                simulation.at(after, () -> simulation.users.cancel(job));
-            }
-            simulation.at(20_000, () -> simulation.crashFor(leader(simulation), 5));
-            simulation.run(200);
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            for (SimulatedUsers.Job job : simulation.users.jobs()) {
-                assertTrue(List.of("done", "aborted").contains(job.status()), job.jobId() + " is " + job.status());
-            }
+    @ParameterizedTest
+    @MethodSource(Seeds.THREE_TIMES_AS_MANY)
+    void usersCancelInEveryPhase(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(3);
+        for (int i = 0; i < 8; i++) {
+            SimulatedUsers.Job job = simulation.users.submit(jobOf(simulation, i));
+            long after = i * 4_000L + simulation.random.nextInt(3_000);
+            simulation.at(after, () -> simulation.users.cancel(job));
+        }
+        simulation.at(20_000, () -> simulation.crashFor(leader(simulation), 5));
+        simulation.run(200);
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        for (SimulatedUsers.Job job : simulation.users.jobs()) {
+            assertTrue(List.of("done", "aborted").contains(job.status()), job.jobId() + " is " + job.status());
         }
     }
 
-    @Test
-    void aCancelledJobEndsOnAMachineThatNobodyReaches() {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            simulation.run(3);
-            SimulatedUsers.Job job = simulation.users.submit(simulation.users.job("blue", "batch", 4, 2, 300));
-            simulation.run(40);
-            simulation.workers().values().forEach(w -> {
-                for (int i = 0; i < 3; i++) {
-                    simulation.cut(w.name, "node-" + i, Simulation.Cut.LOSE);
-                }
-            });
-            simulation.users.cancel(job);
-            simulation.run(120);
-            assertEquals("aborted", job.status());
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        }
+    @ParameterizedTest
+    @MethodSource(Seeds.EACH)
+    void aCancelledJobEndsOnAMachineThatNobodyReaches(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(3);
+        SimulatedUsers.Job job = simulation.users.submit(simulation.users.job("blue", "batch", 4, 2, 300));
+        simulation.run(40);
+        simulation.workers().values().forEach(w -> {
+            for (int i = 0; i < 3; i++) {
+                simulation.cut(w.name, "node-" + i, Simulation.Cut.LOSE);
+            }
+        });
+        simulation.users.cancel(job);
+        simulation.run(120);
+        assertEquals("aborted", job.status());
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
     }
 
     @Test
--- a/src/test/java/org/spoolline/simulation/StallTest.java
+++ b/src/test/java/org/spoolline/simulation/StallTest.java
@@ -7,6 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.Controller;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
@@ -44,23 +46,22 @@
     }
 
     /** Whatever came before, tasks start in bounded time after the last trouble. */
-    @Test
-    void theFirstTaskStartsInBoundedTimeAfterTroublesFromTheFirstSecond() {
-        for (int seed = 1; seed <= 3 * Workloads.SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            double calmFromS = troubleFromTheStart(simulation, seed);
-            for (int n = 0; n < 4; n++) {
-                int job = n;
-                simulation.at(500 + n * 3_000L, () -> simulation.users.submit(Workloads.jobOf(simulation, job)));
-            }
-            simulation.run(calmFromS);
-            long startsBefore = simulation.invariants.starts();
-            // What was submitted in the worst of it may have been given up by its user; this one comes in calm.
-            simulation.users.submit(Workloads.jobOf(simulation, 0));
-            simulation.run(STARTS_WITHIN_S);
-            assertTrue(simulation.invariants.starts() > startsBefore, "seed " + seed + ": nothing started");
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+    @ParameterizedTest
+    @MethodSource(Seeds.THREE_TIMES_AS_MANY)
+    void theFirstTaskStartsInBoundedTimeAfterTroublesFromTheFirstSecond(int seed) {
+        Simulation simulation = new Simulation(seed);
+        double calmFromS = troubleFromTheStart(simulation, seed);
+        for (int n = 0; n < 4; n++) {
+            int job = n;
+            simulation.at(500 + n * 3_000L, () -> simulation.users.submit(Workloads.jobOf(simulation, job)));
         }
+        simulation.run(calmFromS);
+        long startsBefore = simulation.invariants.starts();
+        // What was submitted in the worst of it may have been given up by its user; this one comes in calm.
+        simulation.users.submit(Workloads.jobOf(simulation, 0));
+        simulation.run(STARTS_WITHIN_S);
+        assertTrue(simulation.invariants.starts() > startsBefore, "seed " + seed + ": nothing started");
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
     }
 
     /** Outages, crashes and cuts that overlap from the first moment; the second at which the last one is over. */
--- a/src/test/java/org/spoolline/simulation/Workloads.java
+++ b/src/test/java/org/spoolline/simulation/Workloads.java
@@ -10,8 +10,6 @@
 final class Workloads {
     private Workloads() {}
 
-    static final int SEEDS = Integer.getInteger("scenario.seeds", 4);
-
     /** Seconds without trouble at the end of each day. */
     static final double CALM_S = 150;
 
@@ -20,27 +18,25 @@
     }
 
     /** A mixed load, trouble at 40 s, and enough time to recover; every job must end and no rule may break. */
-    static void day(double seconds, Trouble trouble) {
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = new Simulation(seed);
-            List<SimulatedUsers.Job> jobs = new ArrayList<>();
-            for (int i = 0; i < 12; i++) {
-                int n = i;
-                simulation.at(3_000 + i * 5_000L, () -> jobs.add(simulation.users.submit(jobOf(simulation, n))));
-            }
-            simulation.run(40);
-            trouble.strike(simulation);
-            simulation.at((long) (1_000 * Math.max(0, seconds - CALM_S)), simulation.invariants::troublesAreOver);
-            simulation.run(seconds);
-            simulation.invariants.dayIsOver();
-            assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-            for (SimulatedUsers.Job job : jobs) {
-                assertTrue(
-                        job.status().equals("done") || job.status().equals("aborted"),
-                        "seed " + seed + ": " + job.jobId() + " is " + job.status());
-            }
-            assertTrue(simulation.invariants.starts() > 0);
+    static void day(int seed, double seconds, Trouble trouble) {
+        Simulation simulation = new Simulation(seed);
+        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        for (int i = 0; i < 12; i++) {
+            int n = i;
+            simulation.at(3_000 + i * 5_000L, () -> jobs.add(simulation.users.submit(jobOf(simulation, n))));
+        }
+        simulation.run(40);
+        trouble.strike(simulation);
+        simulation.at((long) (1_000 * Math.max(0, seconds - CALM_S)), simulation.invariants::troublesAreOver);
+        simulation.run(seconds);
+        simulation.invariants.dayIsOver();
+        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        for (SimulatedUsers.Job job : jobs) {
+            assertTrue(
+                    job.status().equals("done") || job.status().equals("aborted"),
+                    "seed " + seed + ": " + job.jobId() + " is " + job.status());
         }
+        assertTrue(simulation.invariants.starts() > 0);
     }
 
     /** The end of a day on which nobody cancels. */
