--- /dev/null
+++ b/src/test/java/org/spoolline/PackageDependenciesTest.java
@@ -0,0 +1,71 @@
+package org.spoolline;
+
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Packages depend on one another in one direction only, so that each can be read without those above it. */
+class PackageDependenciesTest {
+    private static final String ROOT = "org.spoolline";
+
+    /**
+     * The packages from bottom to top. A package may depend on those of the lines before its own, and on none of its
+     * own line; "" is the package that wires the controller together.
+     */
+    private static final List<List<String>> LAYERS = List.of(
+            List.of("codec"),
+            List.of("config"),
+            List.of("net"),
+            List.of("pipeline", "kvstore", "metrics"),
+            List.of("election", "cluster"),
+            List.of("job", "reconcile", "upgrade", "peer"),
+            List.of("autoscaler"),
+            List.of("worker", "scheduler", "api"),
+            List.of(""),
+            List.of("cli"));
+
+    private static final JavaClasses CLASSES = new ClassFileImporter()
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages(ROOT);
+
+    @Test
+    void noPackageDependsOnOneAboveIt() {
+        LayeredArchitecture layers = layeredArchitecture()
+                .consideringOnlyDependenciesInAnyPackage(ROOT + "..")
+                .ensureAllClassesAreContainedInArchitecture();
+        List<String> below = new ArrayList<>();
+        for (List<String> layer : LAYERS) {
+            for (String name : layer) {
+                String identifier = name.isEmpty() ? ROOT : ROOT + "." + name + "..";
+                layers = layers.layer(layerName(name)).definedBy(identifier);
+            }
+        }
+        for (List<String> layer : LAYERS) {
+            String[] lower = below.toArray(new String[0]);
+            for (String name : layer) {
+                layers = lower.length == 0
+                        ? layers.whereLayer(layerName(name)).mayNotAccessAnyLayer()
+                        : layers.whereLayer(layerName(name)).mayOnlyAccessLayers(lower);
+            }
+            layer.forEach(name -> below.add(layerName(name)));
+        }
+        layers.check(CLASSES);
+    }
+
+    /** Also says which classes close a cycle, which the order of the layers alone does not. */
+    @Test
+    void packagesFormNoCycle() {
+        slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(CLASSES);
+    }
+
+    private static String layerName(String packageName) {
+        return packageName.isEmpty() ? "controller" : packageName;
+    }
+}
