--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -1,6 +1,5 @@
 package org.spoolline;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
@@ -15,27 +14,24 @@
 import org.spoolline.job.JobTable;
 import org.spoolline.kvstore.KeyValueStoreClient;
 import org.spoolline.metrics.Counters;
-import org.spoolline.metrics.Event;
 import org.spoolline.metrics.StallMonitor;
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
-import org.spoolline.net.Json;
 import org.spoolline.peer.PeerService;
 import org.spoolline.scheduler.Scheduler;
 import org.spoolline.upgrade.VersionRegistry;
 import org.spoolline.worker.HeartbeatService;
 
-/** One controller node: its slices, wired together. Clock, random source and network come from outside. */
+/**
+ * One controller node: its parts, wired together. Clock, random source and network come from outside, and every method
+ * runs on the event loop.
+ */
 public final class Controller implements LeaderElection.Listener {
-    /** Where operators read the counters, on the internal address. */
+    /** Path on the internal address where operators read the node's status and counters. */
     public static final String COUNTERS = "/counters";
 
-    private final Settings settings;
     private final EventLoop loop;
     private final Counters counters;
-    private final StallMonitor stalls;
-    private final StalenessBound staleness;
-    private final KeyValueStoreClient store;
     private final LeaderElection election;
     private final MachineTypeCatalog catalog;
     private final JobTable jobs = new JobTable();
@@ -45,19 +41,27 @@
     private final Scheduler scheduler;
     private final Autoscaler autoscaler;
     private final PeerService peerService;
+    private final NodeHealth health;
+    private final RequestRouter router;
     private Runnable leaderKnown = () -> {};
 
+    /**
+     * Wires a node. Nothing is called back before {@link #start}, so the parts that refer to one another may be given
+     * this node and each other while it is being built.
+     *
+     * @param http   sends requests to the key-value store, the cloud, the peers and the workers
+     * @param random decides how long a candidate waits before it campaigns
+     */
     public Controller(Settings settings, EventLoop loop, Http.Caller http, RandomGenerator random) {
-        this.settings = settings;
         this.loop = loop;
         counters = new Counters(loop);
-        stalls = new StallMonitor(loop);
-        store = new KeyValueStoreClient(loop, http, settings);
+        StallMonitor stalls = new StallMonitor(loop);
+        KeyValueStoreClient store = new KeyValueStoreClient(loop, http, settings);
         election = new LeaderElection(loop, random, store, settings, this, counters);
         catalog = new MachineTypeCatalog(loop, http, settings, store);
         versions = new VersionRegistry(loop, store, settings);
-        jobApi = new JobApi(loop, settings, store, catalog, versions, this::cancelled);
-        staleness = new StalenessBound(loop, settings, election);
+        jobApi = new JobApi(loop, settings, store, catalog, versions, this::cancellationConfirmed);
+        StalenessBound staleness = new StalenessBound(loop, settings, election);
         MachineRegistry machines = new MachineRegistry();
         scheduler =
                 new Scheduler(loop, settings, store, election, staleness, catalog, machines, jobs, counters, stalls);
@@ -73,124 +77,39 @@
                 scheduler,
                 scheduler::machineChanged,
                 counters);
-        scheduler.connect(autoscaler, new Scheduler.CycleListener() {
-            @Override
-            public void jobsLoaded() {
-                heartbeatService.setReady(true);
-            }
-
-            @Override
-            public void valuesWritten(boolean settled, Set<String> withNews) {
-                heartbeatService.releaseHeldResponses(settled);
-                heartbeatService.requestEarlyHeartbeats(withNews);
-            }
-        });
-        peerService = new PeerService(loop, http, settings, store, election, new PeerService.Local() {
-            @Override
-            public void handle(Http.Request request, Consumer<Http.Response> answer) {
-                jobApi.handle(request, answer);
-            }
-
-            @Override
-            public boolean receivesHeartbeats() {
-                return heartbeatService.receivesHeartbeats();
-            }
-
-            @Override
-            public void jobCancelled(String jobId) {
-                jobs.markCancelled(jobId);
-            }
-        });
+        scheduler.connect(autoscaler, new CycleResults());
+        peerService = new PeerService(loop, http, settings, store, election, new RequestsOfPeers());
+        health = new NodeHealth(loop, store, catalog, election, heartbeatService, peerService);
+        NodeStatus status = new NodeStatus(settings.node(), election, staleness, store, catalog, stalls, counters);
+        router = new RequestRouter(jobApi, heartbeatService, peerService, store, health, status, counters);
     }
 
-    /** A cancellation was confirmed here: its tasks are to end, whoever leads. */
-    private void cancelled(String jobId) {
-        jobs.markCancelled(jobId);
-        peerService.notifyLeaderOfCancellation(jobId);
-    }
-
-    /** Starts; {@code onLeaderKnown} runs whenever this node has come to know who leads, itself or another. */
+    /** Starts; {@code onLeaderKnown} runs each time this node learns who leads, itself or another. */
     public void start(Runnable onLeaderKnown) {
         leaderKnown = onLeaderKnown;
         start();
     }
 
+    /** Starts the election and every periodic task of the node. */
     public void start() {
         counters.start();
         election.start();
         loop.after(Constants.Store.VERSION_RECORD_DELAY_MS, versions::start);
         catalog.start();
         peerService.start();
-        probe();
+        health.startProbing();
     }
 
     /** Serves users, workers and health checks. */
     public void serve(Http.Request request, Consumer<Http.Response> answer) {
+        // A loop that is busy with requests is late with its timers, and leadership must not end by that.
         election.renewIfDue();
-        String path = request.path();
-        if (path.equals("/checkin")) {
-            heartbeatService.handle(request, answer);
-        } else if (JobApi.serves(path)) {
-            Consumer<Http.Response> counted = response -> {
-                counters.count(outcome(response.status()));
-                answer.accept(response);
-            };
-            if (store.reachable() || !peerService.forward(request, counted)) {
-                jobApi.handle(request, counted);
-            }
-        } else if (path.equals("/healthz")) {
-            answer.accept(Http.Response.of(healthy() ? 200 : 503, new byte[0]));
-        } else {
-            answer.accept(Http.Response.of(404, Json.error("no such path")));
-        }
+        router.serve(request, answer);
     }
 
     /** Serves the other controllers, and operators who read the counters. */
     public void servePeer(Http.Request request, Consumer<Http.Response> answer) {
-        if (request.path().equals(COUNTERS)) {
-            answer.accept(Http.Response.of(200, Json.bytes(status())));
-        } else {
-            peerService.handle(request, answer);
-        }
-    }
-
-    private static Event outcome(int status) {
-        return switch (status) {
-            case 200, 201 -> Event.USER_SERVED;
-            case 429 -> Event.USER_RATE_LIMITED;
-            case 503, 504 -> Event.USER_UNAVAILABLE;
-            default -> Event.USER_REFUSED;
-        };
-    }
-
-    /** Who leads as far as this node knows, what its own term rests on, and the counters. */
-    private ObjectNode status() {
-        ObjectNode status = Json.object()
-                .put("node", settings.node())
-                .put("leader", election.knownLeader())
-                .put("token", election.highestKnownToken())
-                .put("leads", election.isLeader())
-                .put("leadershipValid", election.hasValidLease())
-                .put("mayLaunch", staleness.mayLaunch())
-                .put("stateReachable", store.reachable())
-                .put("machineTypesKnown", catalog.isKnown());
-        StallMonitor.Situation stalled = election.isLeader() ? stalls.lastSeen() : null;
-        status.put("stalled", stalled == null ? null : stalled.toString());
-        status.set("counts", counters.toJson());
-        return status;
-    }
-
-    /** In an outage common to all, leaving the load balancer helps nobody; a node cut off alone should leave it. */
-    private boolean healthy() {
-        return catalog.isKnown() && (store.reachable() || !peerService.anyReachesStore());
-    }
-
-    private void probe() {
-        store.probe();
-        if (election.hasValidLease() && heartbeatService.workersUnreachable() && peerService.anyReceivesHeartbeats()) {
-            election.stepDownAndBackOff("no worker comes here, but they do to a peer");
-        }
-        loop.after(Constants.Store.STORE_PROBE_MS, this::probe);
+        router.servePeer(request, answer);
     }
 
     @Override
@@ -207,9 +126,47 @@
     }
 
     @Override
-    public void steppedDown(String why) {
+    public void steppedDown(String reason) {
         heartbeatService.setReady(false);
         scheduler.steppedDown();
         autoscaler.steppedDown();
     }
+
+    /** A user has the confirmation that the job is cancelled. The leader must end its tasks, whichever node it is. */
+    private void cancellationConfirmed(String jobId) {
+        jobs.markCancelled(jobId);
+        peerService.notifyLeaderOfCancellation(jobId);
+    }
+
+    /** Hands the results of scheduling cycles to the workers. */
+    private final class CycleResults implements Scheduler.CycleListener {
+        @Override
+        public void jobsLoaded() {
+            heartbeatService.setReady(true);
+        }
+
+        @Override
+        public void valuesWritten(boolean allWritten, Set<String> changedMachines) {
+            heartbeatService.releaseHeldResponses(allWritten);
+            heartbeatService.requestEarlyHeartbeats(changedMachines);
+        }
+    }
+
+    /** What the peers may ask of this node. */
+    private final class RequestsOfPeers implements PeerService.Local {
+        @Override
+        public void handle(Http.Request request, Consumer<Http.Response> answer) {
+            jobApi.handle(request, answer);
+        }
+
+        @Override
+        public boolean receivesHeartbeats() {
+            return heartbeatService.receivesHeartbeats();
+        }
+
+        @Override
+        public void jobCancelled(String jobId) {
+            jobs.markCancelled(jobId);
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/org/spoolline/NodeStatus.java
@@ -0,0 +1,62 @@
+package org.spoolline;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.spoolline.cluster.MachineTypeCatalog;
+import org.spoolline.election.LeaderElection;
+import org.spoolline.election.StalenessBound;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.metrics.Counters;
+import org.spoolline.metrics.StallMonitor;
+import org.spoolline.net.Json;
+
+/**
+ * What operators read at {@link Controller#COUNTERS}: who leads as far as this node knows, whether it may decide anything
+ * itself, and its counters. The field names are read by operators' scripts and stay as they are.
+ */
+final class NodeStatus {
+    private final String node;
+    private final LeaderElection election;
+    private final StalenessBound staleness;
+    private final KeyValueStoreClient store;
+    private final MachineTypeCatalog catalog;
+    private final StallMonitor stalls;
+    private final Counters counters;
+
+    NodeStatus(
+            String node,
+            LeaderElection election,
+            StalenessBound staleness,
+            KeyValueStoreClient store,
+            MachineTypeCatalog catalog,
+            StallMonitor stalls,
+            Counters counters) {
+        this.node = node;
+        this.election = election;
+        this.staleness = staleness;
+        this.store = store;
+        this.catalog = catalog;
+        this.stalls = stalls;
+        this.counters = counters;
+    }
+
+    /** The status as of now; "stalled" is null unless this node leads and starts nothing although jobs wait. */
+    ObjectNode toJson() {
+        ObjectNode status = Json.object()
+                .put("node", node)
+                .put("leader", election.knownLeader())
+                .put("token", election.highestKnownToken())
+                .put("leads", election.isLeader())
+                .put("leadershipValid", election.hasValidLease())
+                .put("mayLaunch", staleness.mayLaunch())
+                .put("stateReachable", store.reachable())
+                .put("machineTypesKnown", catalog.isKnown())
+                .put("stalled", stalled());
+        status.set("counts", counters.toJson());
+        return status;
+    }
+
+    private String stalled() {
+        StallMonitor.Situation situation = election.isLeader() ? stalls.lastSeen() : null;
+        return situation == null ? null : situation.toString();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/RequestRouter.java
@@ -0,0 +1,85 @@
+package org.spoolline;
+
+import java.util.function.Consumer;
+import org.spoolline.api.JobApi;
+import org.spoolline.kvstore.KeyValueStoreClient;
+import org.spoolline.metrics.Counters;
+import org.spoolline.metrics.Event;
+import org.spoolline.net.Http;
+import org.spoolline.net.Json;
+import org.spoolline.peer.PeerService;
+import org.spoolline.worker.HeartbeatService;
+
+/** Every path that a node serves, on both of its addresses. Each response is handed over exactly once, on the loop. */
+final class RequestRouter {
+    private static final String HEARTBEAT = "/checkin";
+    private static final String HEALTH = "/healthz";
+
+    private final JobApi jobApi;
+    private final HeartbeatService heartbeatService;
+    private final PeerService peerService;
+    private final KeyValueStoreClient store;
+    private final NodeHealth health;
+    private final NodeStatus status;
+    private final Counters counters;
+
+    RequestRouter(
+            JobApi jobApi,
+            HeartbeatService heartbeatService,
+            PeerService peerService,
+            KeyValueStoreClient store,
+            NodeHealth health,
+            NodeStatus status,
+            Counters counters) {
+        this.jobApi = jobApi;
+        this.heartbeatService = heartbeatService;
+        this.peerService = peerService;
+        this.store = store;
+        this.health = health;
+        this.status = status;
+        this.counters = counters;
+    }
+
+    /** Serves the address for users, workers and health checks. */
+    void serve(Http.Request request, Consumer<Http.Response> answer) {
+        String path = request.path();
+        if (path.equals(HEARTBEAT)) {
+            heartbeatService.handle(request, answer);
+        } else if (JobApi.serves(path)) {
+            serveUser(request, answer);
+        } else if (path.equals(HEALTH)) {
+            answer.accept(Http.Response.of(health.isHealthy() ? 200 : 503, new byte[0]));
+        } else {
+            answer.accept(Http.Response.of(404, Json.error("no such path")));
+        }
+    }
+
+    /** Serves the internal address, for the other controllers and for operators who read the counters. */
+    void servePeer(Http.Request request, Consumer<Http.Response> answer) {
+        if (request.path().equals(Controller.COUNTERS)) {
+            answer.accept(Http.Response.of(200, Json.bytes(status.toJson())));
+        } else {
+            peerService.handle(request, answer);
+        }
+    }
+
+    /** Counts how users' requests end; a node that can't reach the key-value store forwards them to a peer that can. */
+    private void serveUser(Http.Request request, Consumer<Http.Response> answer) {
+        Consumer<Http.Response> counted = response -> {
+            counters.count(outcome(response.status()));
+            answer.accept(response);
+        };
+        if (store.reachable() || !peerService.forward(request, counted)) {
+            jobApi.handle(request, counted);
+        }
+    }
+
+    private static Event outcome(int status) {
+        return switch (status) {
+            case 200, 201 -> Event.USER_SERVED;
+            case 429 -> Event.USER_RATE_LIMITED;
+            case 503, 504 -> Event.USER_UNAVAILABLE;
+            default -> Event.USER_REFUSED;
+        };
+    }
+}
