--- a/src/main/java/org/spoolline/config/SettingsException.java
+++ b/src/main/java/org/spoolline/config/SettingsException.java
@@ -4,6 +4,7 @@
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** An exception with a message of one line. */
     public SettingsException(String message) {
         super(message);
     }
--- a/src/main/java/org/spoolline/config/SettingsFile.java
+++ b/src/main/java/org/spoolline/config/SettingsFile.java
@@ -15,23 +15,25 @@
 import org.spoolline.codec.TreeCodec;
 
 /**
- * Reads and checks the platform's TOML file. Only what a node can't serve or keep a rule without is refused: its name and
- * addresses, its peers, the services, the workers' lease, the cancellation bound and the teams' limits. Of any other field
- * a missing or odd value is replaced by a default that allows no more than the settings may have, and told; unknown
- * fields are ignored.
+ * Reads and checks the platform's TOML file. A file is rejected only for a field without which a node can't serve or can't
+ * keep the protocol: its name and addresses, its peers, the services, the workers' lease, the cancellation bound and the
+ * teams' limits. Any other field that is missing or unusable is replaced by a default that allows no more than any usual
+ * setting, and reported. Unknown fields are ignored, and reported.
  */
 public final class SettingsFile {
     private static final Set<String> ROOT_FIELDS =
             Set.of("node_name", "domain", "serve_on", "internal_addr", "seeds", "services", "cluster");
     private static final Set<String> CLUSTER_FIELDS =
             Set.of("count", "zones", "time_bound_ms", "teams", "objectives", "workers", "state", "cloud", "quota");
+    /** The table of the limits that are announced. */
     private static final String NEXT = "next";
+
     private static final double BYTES_PER_KB = 1024;
-    private static final Settings.StoreLimits LEAST_LIMITS = new Settings.StoreLimits(
-            Constants.Defaults.DEFAULT_STORE_RPS,
-            Constants.Defaults.DEFAULT_STORE_WRITE_RPS,
-            Constants.Defaults.DEFAULT_VALUE_BYTES,
-            Constants.Defaults.DEFAULT_TRANSACTION_WRITES,
+    private static final Settings.StoreLimits DEFAULT_LIMITS = new Settings.StoreLimits(
+            SettingsDefaults.STORE_RPS,
+            SettingsDefaults.STORE_WRITE_RPS,
+            SettingsDefaults.VALUE_BYTES,
+            SettingsDefaults.TRANSACTION_WRITES,
             null);
     private static final Set<String> OBJECTIVE_FIELDS = Set.of("kind", "class", "within_s", "share", "times");
 
@@ -39,18 +41,33 @@
     private final SettingsTable root;
 
     /**
-     * Settings as they are used, and what was found on the way.
+     * The settings as a node uses them, and in what they differ from the file.
      *
-     * @param replacements  a line for each field whose value could not be used, with the default taken instead
-     * @param unknownFields fields that this version does not know
+     * @param replacements  fields that were missing or unusable
+     * @param unknownFields names of fields that this version does not know
      */
-    public record Loaded(Settings settings, List<String> replacements, List<String> unknownFields) {}
+    public record Loaded(Settings settings, List<Replacement> replacements, List<String> unknownFields) {}
+
+    /**
+     * A field that was missing or unusable, so that a default is used.
+     *
+     * @param field name with the tables that it is in
+     * @param found what the file has, shortened
+     * @param used  the default; null where the field then counts as left out
+     */
+    public record Replacement(String field, String found, Object used) {
+        /** The line that {@code --check} prints. */
+        @Override
+        public String toString() {
+            return "settings field " + field + " is " + found + ", " + used + " is used";
+        }
+    }
 
     private SettingsFile(JsonNode file) {
         root = SettingsTable.root(file, findings);
     }
 
-    /** Reads a file; the exception's message names all fields that are refused, on one line. */
+    /** Reads a file; the exception's message names all rejected fields, on one line. */
     public static Loaded load(Path file) throws SettingsException {
         try {
             return loadText(Files.readString(file));
@@ -61,7 +78,7 @@
         }
     }
 
-    /** The same for a file's content. */
+    /** Reads the content of a file, see {@link #load(Path)}. */
     public static Loaded loadText(String toml) throws SettingsException {
         JsonNode file;
         try {
@@ -74,15 +91,15 @@
         return new SettingsFile(file).load();
     }
 
-    /** The settings alone. */
+    /** The settings that a node uses, without what was found to be wrong with the file. */
     public static Settings parse(String toml) throws SettingsException {
         return loadText(toml).settings();
     }
 
     private Loaded load() throws SettingsException {
-        root.knows(ROOT_FIELDS);
-        SettingsTable cluster = root.table("cluster").knows(CLUSTER_FIELDS);
-        SettingsTable services = root.table("services").knows(Set.of("cloud", "state"));
+        root.checkNames(ROOT_FIELDS);
+        SettingsTable cluster = root.table("cluster").checkNames(CLUSTER_FIELDS);
+        SettingsTable services = root.table("services").checkNames(Set.of("cloud", "state"));
         List<Settings.Peer> peers = peers();
         Settings settings = new Settings(
                 root.requiredText("node_name"),
@@ -96,11 +113,11 @@
                 teams(cluster),
                 objectives(cluster),
                 workers(cluster.table("workers")),
-                state(cluster.table("state")),
+                storeLimits(cluster.table("state")),
                 cloud(cluster.table("cloud")),
                 quota(cluster.table("quota")),
                 OperatorSettings.DEFAULTS);
-        findings.throwIfRefused();
+        findings.throwIfRejected();
         if (settings.leadershipMs() < Constants.Election.LEADERSHIP_MIN_MS) {
             throw new SettingsException("cluster.workers.cancel_s is too short for lease_s: "
                     + "no time is left between them for leadership");
@@ -111,7 +128,7 @@
     private List<Settings.Peer> peers() {
         List<Settings.Peer> peers = new ArrayList<>();
         for (SettingsTable seed : root.tables("seeds")) {
-            seed.knows(Set.of("node_name", "domain", "endpoint"));
+            seed.checkNames(Set.of("node_name", "domain", "endpoint"));
             peers.add(new Settings.Peer(seed.requiredText("node_name"), seed.requiredAddress("endpoint")));
         }
         return List.copyOf(peers);
@@ -120,7 +137,7 @@
     private static Map<String, Settings.Team> teams(SettingsTable cluster) {
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         for (SettingsTable table : cluster.tables("teams")) {
-            table.knows(Set.of("name", "cpus", "cpus_max", "gpus", "gpus_max"));
+            table.checkNames(Set.of("name", "cpus", "cpus_max", "gpus", "gpus_max"));
             Settings.Team team = new Settings.Team(
                     table.requiredText("name"),
                     table.number("cpus", 0),
@@ -135,7 +152,7 @@
     private static List<Settings.Objective> objectives(SettingsTable cluster) {
         List<Settings.Objective> objectives = new ArrayList<>();
         for (SettingsTable table : cluster.tables("objectives")) {
-            table.knows(OBJECTIVE_FIELDS);
+            table.checkNames(OBJECTIVE_FIELDS);
             objectives.add(new Settings.Objective(
                     table.text("kind", ""),
                     table.optionalText("class"),
@@ -146,61 +163,66 @@
     }
 
     private static Settings.Workers workers(SettingsTable table) {
-        table.knows(Set.of("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"));
+        table.checkNames(Set.of("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"));
         long leaseMs = table.requiredMillis("lease_s");
         return new Settings.Workers(
-                table.millis("report_s", Math.max(1, leaseMs / Constants.Defaults.DEFAULT_HEARTBEATS_PER_LEASE)),
+                table.millis("report_s", Math.max(1, leaseMs / SettingsDefaults.HEARTBEATS_PER_LEASE)),
                 leaseMs,
-                table.millis("gang_wait_s", Constants.Defaults.DEFAULT_GANG_WAIT_MS),
-                table.millis("gang_peer_s", Constants.Defaults.DEFAULT_GANG_PEER_MS),
+                table.millis("gang_wait_s", SettingsDefaults.GANG_WAIT_MS),
+                table.millis("gang_peer_s", SettingsDefaults.GANG_PEER_MS),
                 table.requiredMillis("cancel_s"));
     }
 
-    private static Settings.StoreLimits state(SettingsTable table) {
-        table.knows(Set.of("rps", "write_rps", "value_kb", "txn_ops", "next"));
-        Settings.StoreLimits now = new Settings.StoreLimits(
-                table.positive("rps", LEAST_LIMITS.requestsPerS()),
-                table.positive("write_rps", LEAST_LIMITS.writesPerS()),
-                bytes(table, LEAST_LIMITS),
-                table.count("txn_ops", LEAST_LIMITS.txnOps()),
+    private static Settings.StoreLimits storeLimits(SettingsTable table) {
+        table.checkNames(Set.of("rps", "write_rps", "value_kb", "txn_ops", "next"));
+        Settings.StoreLimits current = new Settings.StoreLimits(
+                table.positive("rps", DEFAULT_LIMITS.requestsPerS()),
+                table.positive("write_rps", DEFAULT_LIMITS.writesPerS()),
+                bytes(table, DEFAULT_LIMITS),
+                table.count("txn_ops", DEFAULT_LIMITS.txnOps()),
                 null);
         return new Settings.StoreLimits(
-                now.requestsPerS(), now.writesPerS(), now.valueBytes(), now.txnOps(), announced(table, now));
+                current.requestsPerS(),
+                current.writesPerS(),
+                current.valueBytes(),
+                current.txnOps(),
+                announced(table, current));
     }
 
-    /** The limits announced for later: what is missing of them stays as it is, for what is odd the least holds. */
-    private static Settings.StoreLimits announced(SettingsTable state, Settings.StoreLimits now) {
+    /**
+     * The limits announced for later, or null. A limit that is missing stays as it is now; one that is unusable is replaced
+     * by the lowest that may hold.
+     */
+    private static Settings.StoreLimits announced(SettingsTable state, Settings.StoreLimits current) {
         if (!state.has(NEXT)) {
             return null;
         }
-        SettingsTable next = state.table(NEXT).knows(Set.of("rps", "write_rps", "value_kb", "txn_ops"));
-        Settings.StoreLimits least = new Settings.StoreLimits(
-                        now.requestsPerS(), now.writesPerS(), now.valueBytes(), now.txnOps(), LEAST_LIMITS)
-                .lowestAnnounced();
-        Settings.StoreLimits ifMissing = state.hasTable(NEXT) ? now : least;
+        SettingsTable next = state.table(NEXT).checkNames(Set.of("rps", "write_rps", "value_kb", "txn_ops"));
+        Settings.StoreLimits lowest = current.lowest(DEFAULT_LIMITS);
+        Settings.StoreLimits ifMissing = state.hasTable(NEXT) ? current : lowest;
         return new Settings.StoreLimits(
-                next.has("rps") ? next.positive("rps", least.requestsPerS()) : ifMissing.requestsPerS(),
-                next.has("write_rps") ? next.positive("write_rps", least.writesPerS()) : ifMissing.writesPerS(),
-                next.has("value_kb") ? bytes(next, least) : ifMissing.valueBytes(),
-                next.has("txn_ops") ? next.count("txn_ops", least.txnOps()) : ifMissing.txnOps(),
+                next.has("rps") ? next.positive("rps", lowest.requestsPerS()) : ifMissing.requestsPerS(),
+                next.has("write_rps") ? next.positive("write_rps", lowest.writesPerS()) : ifMissing.writesPerS(),
+                next.has("value_kb") ? bytes(next, lowest) : ifMissing.valueBytes(),
+                next.has("txn_ops") ? next.count("txn_ops", lowest.txnOps()) : ifMissing.txnOps(),
                 null);
     }
 
-    private static int bytes(SettingsTable table, Settings.StoreLimits ifOdd) {
-        return (int) (table.positive("value_kb", ifOdd.valueBytes() / BYTES_PER_KB) * BYTES_PER_KB);
+    private static int bytes(SettingsTable table, Settings.StoreLimits defaults) {
+        return (int) (table.positive("value_kb", defaults.valueBytes() / BYTES_PER_KB) * BYTES_PER_KB);
     }
 
     private static Settings.Cloud cloud(SettingsTable table) {
-        table.knows(Set.of("rps", "list_lag_s"));
+        table.checkNames(Set.of("rps", "list_lag_s"));
         return new Settings.Cloud(
-                table.positive("rps", Constants.Defaults.DEFAULT_CLOUD_RPS),
-                table.millis("list_lag_s", Constants.Defaults.DEFAULT_CLOUD_LIST_LAG_MS));
+                table.positive("rps", SettingsDefaults.CLOUD_RPS),
+                table.millis("list_lag_s", SettingsDefaults.CLOUD_LIST_LAG_MS));
     }
 
     private static Settings.Quota quota(SettingsTable table) {
-        table.knows(Set.of("cpu_share", "ram_mb", "sockets"));
+        table.checkNames(Set.of("cpu_share", "ram_mb", "sockets"));
         return new Settings.Quota(
-                table.number("cpu_share", Constants.Defaults.DEFAULT_CPU_SHARE),
+                table.number("cpu_share", SettingsDefaults.CPU_SHARE),
                 table.number("ram_mb", Constants.Process.FULL_HEAP_PROCESS_MB),
                 table.count("sockets", Constants.Process.SOCKETS_NEEDED));
     }
--- a/src/main/java/org/spoolline/config/SettingsFindings.java
+++ b/src/main/java/org/spoolline/config/SettingsFindings.java
@@ -5,41 +5,41 @@
 import java.util.List;
 import java.util.Set;
 
-/** What the reading of a settings file has found: fields that keep a node from starting, and those that don't. */
+/** Collects what is wrong with a settings file while it is read, so that all of it is reported at once. */
 final class SettingsFindings {
-    private final List<String> refusals = new ArrayList<>();
-    private final List<String> replacements = new ArrayList<>();
-    private final Set<String> unknown = new LinkedHashSet<>();
+    private final List<String> errors = new ArrayList<>();
+    private final List<SettingsFile.Replacement> replacements = new ArrayList<>();
+    private final Set<String> unknownFields = new LinkedHashSet<>();
 
-    /** A field without which no node can serve or keep the rules. */
-    void refuse(String message) {
-        refusals.add(message);
+    /** A required field is missing or unusable, so that the node can't start. */
+    void reject(String message) {
+        errors.add(message);
     }
 
-    /** A field for which a default is taken. */
+    /** A field is missing or unusable, and a default is used. */
     void replace(String field, String found, Object used) {
-        replacements.add("settings field " + field + " is " + found + ", " + used + " is used");
+        replacements.add(new SettingsFile.Replacement(field, found, used));
     }
 
-    /** A field that this version does not know. */
+    /** This version does not know the field. */
     void unknown(String field) {
-        unknown.add(field);
+        unknownFields.add(field);
     }
 
-    /** Ends the reading if any field was refused; the message names all of them on one line. */
-    void throwIfRefused() throws SettingsException {
-        if (!refusals.isEmpty()) {
-            throw new SettingsException(String.join("; ", refusals));
+    /** Throws if any field was rejected; the message names all of them on one line. */
+    void throwIfRejected() throws SettingsException {
+        if (!errors.isEmpty()) {
+            throw new SettingsException(String.join("; ", errors));
         }
     }
 
-    /** One line for each field that was replaced. */
-    List<String> replacements() {
+    /** The fields that were replaced, in the order in which they were read. */
+    List<SettingsFile.Replacement> replacements() {
         return List.copyOf(replacements);
     }
 
-    /** The names of unknown fields, each once. */
+    /** The names of unknown fields, each once, in the order in which they were read. */
     List<String> unknownFields() {
-        return List.copyOf(unknown);
+        return List.copyOf(unknownFields);
     }
 }
--- a/src/main/java/org/spoolline/config/SettingsTable.java
+++ b/src/main/java/org/spoolline/config/SettingsTable.java
@@ -9,14 +9,14 @@
 import java.util.regex.Pattern;
 
 /**
- * One table of the settings file. A required field that is missing or odd is a refusal; for any other the given default
- * is taken. Both are noted in the findings, and reading goes on, so that all of them are told at once.
+ * One table of the settings file. A required field that is missing or unusable is rejected; any other such field is replaced
+ * by the given default. Both are added to the findings, and reading goes on, so that all of them are reported at once.
  */
 final class SettingsTable {
     private static final Pattern ADDRESS = Pattern.compile("[0-9A-Za-z_.-]+:[0-9]{1,5}");
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
     private static final int MILLIS_PER_S = 1_000;
-    private static final int LONGEST_QUOTE = 60;
+    private static final int MAX_QUOTE_LENGTH = 60;
 
     private final JsonNode table;
     private final String path;
@@ -28,12 +28,12 @@
         this.findings = findings;
     }
 
-    /** The file as a whole. */
+    /** The table that is the whole file. */
     static SettingsTable root(JsonNode file, SettingsFindings findings) {
         return new SettingsTable(file, "", findings);
     }
 
-    /** A table within this one; when it is missing or no table, all of its fields are missing. */
+    /** A table within this one; when it is missing or no table, all of its fields count as missing. */
     SettingsTable table(String name) {
         JsonNode inner = table.path(name);
         if (!inner.isMissingNode() && !inner.isObject()) {
@@ -42,7 +42,7 @@
         return new SettingsTable(inner.isObject() ? inner : MissingNode.getInstance(), path + name + ".", findings);
     }
 
-    /** The tables of an array; what is no table among them counts as an empty one. */
+    /** The tables of an array; an element that is no table counts as an empty one. */
     List<SettingsTable> tables(String name) {
         List<SettingsTable> all = new ArrayList<>();
         for (JsonNode element : table.path(name)) {
@@ -51,8 +51,8 @@
         return all;
     }
 
-    /** Notes each field that is not among the known ones. */
-    SettingsTable knows(Set<String> known) {
+    /** Adds each field that is not among the known ones to the findings. Returns this table. */
+    SettingsTable checkNames(Set<String> known) {
         for (Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!known.contains(name)) {
@@ -72,89 +72,93 @@
         return table.path(name).isObject();
     }
 
+    /** A text that is not empty; rejected otherwise. */
     String requiredText(String name) {
         JsonNode value = table.path(name);
         if (isText(value)) {
             return value.asText();
         }
-        findings.refuse("settings need the text " + path + name + ", which is " + quote(value));
+        findings.reject("settings need the text " + path + name + ", which is " + quote(value));
         return "";
     }
 
+    /** A text of the form host:port; rejected otherwise. */
     String requiredAddress(String name) {
         String value = requiredText(name);
-        boolean fine = ADDRESS.matcher(value).matches()
-                && Integer.parseInt(value.substring(value.indexOf(':') + 1)) <= HIGHEST_PORT;
-        if (!value.isEmpty() && !fine) {
-            findings.refuse("settings field " + path + name + " is not host:port: " + value);
+        boolean valid = ADDRESS.matcher(value).matches()
+                && Integer.parseInt(value.substring(value.indexOf(':') + 1)) <= MAX_PORT;
+        if (!value.isEmpty() && !valid) {
+            findings.reject("settings field " + path + name + " is not host:port: " + value);
         }
         return value;
     }
 
+    /** A number of 0 or more; rejected otherwise. */
     double requiredNumber(String name) {
         JsonNode value = table.path(name);
         if (isAmount(value)) {
             return value.asDouble();
         }
-        findings.refuse("settings need a number of 0 or more at " + path + name + ", which is " + quote(value));
+        findings.reject("settings need a number of 0 or more at " + path + name + ", which is " + quote(value));
         return 0;
     }
 
+    /** A positive number of seconds, as milliseconds; rejected otherwise. */
     long requiredMillis(String name) {
         double seconds = requiredNumber(name);
         long millis = Math.round(seconds * MILLIS_PER_S);
         if (isAmount(table.path(name)) && millis <= 0) {
-            findings.refuse("settings need a number over 0 at " + path + name + ", which is " + seconds);
+            findings.reject("settings need a number over 0 at " + path + name + ", which is " + seconds);
         }
         return millis;
     }
 
-    /** A text, or the default. */
-    String text(String name, String ifOdd) {
+    /** A text that is not empty, or the default. */
+    String text(String name, String defaultValue) {
         JsonNode value = table.path(name);
-        return isText(value) ? value.asText() : replaced(name, value, ifOdd);
+        return isText(value) ? value.asText() : replace(name, value, defaultValue);
     }
 
-    /** A text that may be left out. */
+    /** A text that may be left out; null when it is missing or unusable. */
     String optionalText(String name) {
         return isAbsent(table.path(name)) ? null : text(name, null);
     }
 
     /** A number of 0 or more, or the default. */
-    double number(String name, double ifOdd) {
+    double number(String name, double defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) ? value.asDouble() : replaced(name, value, ifOdd);
+        return isAmount(value) ? value.asDouble() : replace(name, value, defaultValue);
     }
 
-    /** A number of 0 or more that may be left out. */
+    /** A number of 0 or more that may be left out; null when it is missing or unusable. */
     Double optionalNumber(String name) {
         JsonNode value = table.path(name);
         if (isAbsent(value) || isAmount(value)) {
             return isAbsent(value) ? null : Double.valueOf(value.asDouble());
         }
-        return replaced(name, value, null);
+        return replace(name, value, null);
     }
 
-    /** A number over 0, or the default. */
-    double positive(String name, double ifOdd) {
+    /** A positive number, or the default. */
+    double positive(String name, double defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) && value.asDouble() > 0 ? value.asDouble() : replaced(name, value, ifOdd);
+        return isAmount(value) && value.asDouble() > 0 ? value.asDouble() : replace(name, value, defaultValue);
     }
 
-    /** A whole number of 1 or more, a fraction cut off, or the default. */
-    int count(String name, int ifOdd) {
+    /** A number of 1 or more without its fraction, or the default. */
+    int count(String name, int defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) && value.asDouble() >= 1 ? (int) value.asDouble() : replaced(name, value, ifOdd);
+        return isAmount(value) && value.asDouble() >= 1 ? (int) value.asDouble() : replace(name, value, defaultValue);
     }
 
-    /** Seconds as milliseconds, or the default. */
-    long millis(String name, long ifOdd) {
+    /** A positive number of seconds, as milliseconds, or the default in milliseconds. */
+    long millis(String name, long defaultValue) {
         JsonNode value = table.path(name);
         long millis = isAmount(value) ? Math.round(value.asDouble() * MILLIS_PER_S) : 0;
-        return millis > 0 ? millis : replaced(name, value, ifOdd);
+        return millis > 0 ? millis : replace(name, value, defaultValue);
     }
 
-    private <T> T replaced(String name, JsonNode found, T used) {
+    private <T> T replace(String name, JsonNode found, T used) {
         findings.replace(path + name, quote(found), used);
         return used;
     }
@@ -176,6 +180,6 @@
             return "missing";
         }
         String text = value.toString();
-        return text.length() <= LONGEST_QUOTE ? text : text.substring(0, LONGEST_QUOTE) + "…";
+        return text.length() <= MAX_QUOTE_LENGTH ? text : text.substring(0, MAX_QUOTE_LENGTH) + "…";
     }
 }
--- a/src/test/java/org/spoolline/config/SettingsFileTest.java
+++ b/src/test/java/org/spoolline/config/SettingsFileTest.java
@@ -11,13 +11,15 @@
 
 /** The platform's file, checked. */
 class SettingsFileTest {
-    private static final String FINE = SampleSettings.NODE;
+    private static final String VALID = SampleSettings.NODE;
 
     private static List<String> replacements(String toml) throws SettingsException {
-        return SettingsFile.loadText(toml).replacements();
+        return SettingsFile.loadText(toml).replacements().stream()
+                .map(SettingsFile.Replacement::toString)
+                .toList();
     }
 
-    private static String refusal(String toml) {
+    private static String rejection(String toml) {
         return assertThrows(SettingsException.class, () -> SettingsFile.parse(toml))
                 .getMessage();
     }
@@ -25,8 +27,8 @@
     /** Bounds that were fixed for the first deployments once did not grow with the machines. */
     @Test
     void boundsAndTimesFollowFromTheSettings() throws Exception {
-        Settings small = SettingsFile.parse(FINE.replace("sockets = 2500", "sockets = 100"));
-        Settings large = SettingsFile.parse(FINE.replace("report_s = 3.0", "report_s = 4.0"));
+        Settings small = SettingsFile.parse(VALID.replace("sockets = 2500", "sockets = 100"));
+        Settings large = SettingsFile.parse(VALID.replace("report_s = 3.0", "report_s = 4.0"));
         assertEquals(100, small.backlog());
         assertEquals(2500, large.backlog());
         assertTrue(small.maxEarlyHeartbeatRequests() + small.idleConnections() < 100 / 2);
@@ -38,10 +40,10 @@
     }
 
     @Test
-    void settingsTooSmallToServeInAreNamedAndNotRefused() throws Exception {
-        assertEquals(0, SettingsFile.parse(FINE).shortages().size());
+    void limitsTooLowToServeInFullAreNamedAndNotRejected() throws Exception {
+        assertEquals(0, SettingsFile.parse(VALID).shortages().size());
         String shortages = SettingsFile.parse(
-                        FINE.replace("sockets = 2500", "sockets = 20").replace("ram_mb = 320.0", "ram_mb = 64.0"))
+                        VALID.replace("sockets = 2500", "sockets = 20").replace("ram_mb = 320.0", "ram_mb = 64.0"))
                 .shortages()
                 .toString();
         assertTrue(shortages.contains("sockets is 20") && shortages.contains("ram_mb is 64"), shortages);
@@ -49,13 +51,13 @@
 
     @Test
     void unknownFieldsAreIgnored() throws Exception {
-        Settings s = SettingsFile.parse(FINE);
-        assertEquals("n0", s.node());
-        assertEquals(2.0, s.teams().get("t").maxCores());
+        Settings settings = SettingsFile.parse(VALID);
+        assertEquals("n0", settings.node());
+        assertEquals(2.0, settings.teams().get("t").maxCores());
     }
 
     /**
-     * Only what a node can't serve or keep a rule without may keep it from starting: a refusal that was not needed once
+     * Only a field without which a node can't serve or keep the protocol may keep it from starting: a rejection that was not needed once
      * held a whole deployment down. Each other field may be missing, or be anything at all.
      */
     @Test
@@ -77,55 +79,56 @@
                 "sockets = 2500",
                 "cpus = 1.0",
                 "gpus = 0.0")) {
-            assertTrue(FINE.contains("\n" + field + "\n"), field);
+            assertTrue(VALID.contains("\n" + field + "\n"), field);
             String name = field.substring(0, field.indexOf(' '));
-            for (String odd : List.of("", name + " = \"odd\"", name + " = -1", name + " = nan", name + " = [1]")) {
-                Settings s = SettingsFile.parse(FINE.replace("\n" + field + "\n", "\n" + odd + "\n"));
-                assertEquals("n0", s.node(), odd);
+            for (String unusable : List.of("", name + " = \"odd\"", name + " = -1", name + " = nan", name + " = [1]")) {
+                Settings settings = SettingsFile.parse(VALID.replace("\n" + field + "\n", "\n" + unusable + "\n"));
+                assertEquals("n0", settings.node(), unusable);
             }
         }
         for (String table : List.of("cloud", "quota", "state")) {
             assertEquals(
                     "n0",
-                    SettingsFile.parse(FINE.replace("[cluster." + table + "]", "[cluster.other]"))
+                    SettingsFile.parse(VALID.replace("[cluster." + table + "]", "[cluster.other]"))
                             .node());
         }
-        for (String odd :
+        for (String unusable :
                 List.of("next = 3", "[cluster.state.next]\nvalue_kb = 0", "[cluster.state.next]\nrps = \"x\"")) {
             assertEquals(
                     "n0",
-                    SettingsFile.parse(FINE.replace("txn_ops = 12", "txn_ops = 12\n" + odd))
+                    SettingsFile.parse(VALID.replace("txn_ops = 12", "txn_ops = 12\n" + unusable))
                             .node());
         }
         assertEquals(
                 "n0",
-                SettingsFile.parse(FINE + "[[cluster.objectives]]\nkind = 1\nwithin_s = -1\n")
+                SettingsFile.parse(VALID + "[[cluster.objectives]]\nkind = 1\nwithin_s = -1\n")
                         .node());
     }
 
     @Test
-    void refusalsNameTheField() {
-        assertTrue(refusal(FINE.replace("lease_s = 18.0\n", "")).contains("cluster.workers.lease_s"));
-        assertTrue(refusal(FINE.replace("lease_s = 18.0\n", "lease_s = 0\n")).contains("cluster.workers.lease_s"));
+    void rejectionsNameTheField() {
+        assertTrue(rejection(VALID.replace("lease_s = 18.0\n", "")).contains("cluster.workers.lease_s"));
+        assertTrue(rejection(VALID.replace("lease_s = 18.0\n", "lease_s = 0\n")).contains("cluster.workers.lease_s"));
+        assertTrue(rejection(VALID.replace("cancel_s = 48.0\n", "cancel_s = nan\n"))
+                .contains("cluster.workers.cancel_s"));
         assertTrue(
-                refusal(FINE.replace("cancel_s = 48.0\n", "cancel_s = nan\n")).contains("cluster.workers.cancel_s"));
-        assertTrue(refusal(FINE.replace("cpus_max = 2.0\n", "cpus_max = -1\n")).contains("cluster.teams.cpus_max"));
-        assertTrue(refusal(FINE.replace("gpus_max = 0.0\n", "")).contains("cluster.teams.gpus_max"));
-        assertTrue(refusal(FINE.replace("state = \"10.2.0.1:2379\"", "")).contains("services.state"));
-        assertTrue(refusal(FINE.replace("[services]", "[[seeds]]\nnode_name = \"n1\"\n[services]"))
+                rejection(VALID.replace("cpus_max = 2.0\n", "cpus_max = -1\n")).contains("cluster.teams.cpus_max"));
+        assertTrue(rejection(VALID.replace("gpus_max = 0.0\n", "")).contains("cluster.teams.gpus_max"));
+        assertTrue(rejection(VALID.replace("state = \"10.2.0.1:2379\"", "")).contains("services.state"));
+        assertTrue(rejection(VALID.replace("[services]", "[[seeds]]\nnode_name = \"n1\"\n[services]"))
                 .contains("seeds.endpoint"));
-        assertTrue(refusal(FINE.replace("\"10.0.0.1:8080\"", "\"nowhere\"")).contains("serve_on"));
-        assertTrue(refusal("node_name = ").contains("TOML"));
+        assertTrue(rejection(VALID.replace("\"10.0.0.1:8080\"", "\"nowhere\"")).contains("serve_on"));
+        assertTrue(rejection("node_name = ").contains("TOML"));
         assertTrue(assertThrows(SettingsException.class, () -> SettingsFile.load(Path.of("no-such-file")))
                 .getMessage()
                 .contains("no-such-file"));
     }
 
-    /** An aim on users' deadlines has no time of its own; a node that insisted on one did not start. */
+    /** An objective on users' deadlines has no time of its own; a node that required one did not start. */
     @Test
-    void aimsOfKindsWithOtherFieldsAreRead() throws Exception {
-        Settings s = SettingsFile.parse(
-                FINE
+    void objectivesOfKindsWithOtherFieldsAreRead() throws Exception {
+        Settings settings = SettingsFile.parse(
+                VALID
                         + """
                         [[cluster.objectives]]
                         kind = "deadline"
@@ -133,61 +136,63 @@
                         share = 0.94
                         times = 1.5
                         """);
-        assertEquals(0.94, s.objectives().get(0).share());
-        assertNull(s.objectives().get(0).withinS());
+        assertEquals(0.94, settings.objectives().get(0).share());
+        assertNull(settings.objectives().get(0).withinS());
         assertEquals(
                 List.of("settings field cluster.objectives.within_s is -1, null is used"),
-                replacements(FINE + "[[cluster.objectives]]\nkind = \"wait\"\nwithin_s = -1\n"));
+                replacements(VALID + "[[cluster.objectives]]\nkind = \"wait\"\nwithin_s = -1\n"));
     }
 
     @Test
     void announcedLimitsAreCheckedAndEachMayBeLeftOut() throws Exception {
         assertEquals(
-                SettingsFile.parse(FINE).storeLimits(),
-                SettingsFile.parse(FINE).storeLimits().lowestAnnounced());
+                SettingsFile.parse(VALID).storeLimits(),
+                SettingsFile.parse(VALID).storeLimits().lowestAnnounced());
         Settings.StoreLimits announced = SettingsFile.parse(
-                        FINE + "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nlater = 1\n")
+                        VALID + "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nlater = 1\n")
                 .storeLimits();
         assertEquals(8 * 1024, announced.valueBytes());
         assertEquals(new Settings.StoreLimits(100, 40, 2 * 1024, 4, null), announced.lowestAnnounced());
     }
 
-    /** Odd announced limits are replaced by ones that allow no more than the present ones, and no more than the least. */
+    /** Unusable announced limits are replaced by ones that allow no more than the present ones and the defaults. */
     @Test
-    void oddAnnouncedLimitsAreToldAndTakenAsTheLeast() throws Exception {
-        String oddValue = FINE + "[cluster.state.next]\nvalue_kb = 0\n";
-        assertEquals(List.of("settings field cluster.state.next.value_kb is 0, 2.0 is used"), replacements(oddValue));
+    void unusableAnnouncedLimitsAreReportedAndReplacedByTheLowest() throws Exception {
+        String unusableValue = VALID + "[cluster.state.next]\nvalue_kb = 0\n";
         assertEquals(
-                new Settings.StoreLimits(100, 40, Constants.Defaults.DEFAULT_VALUE_BYTES, 12, null),
-                SettingsFile.parse(oddValue).storeLimits().lowestAnnounced());
-        String oddRate = FINE + "[cluster.state.next]\nrps = \"x\"\n";
-        assertEquals(List.of("settings field cluster.state.next.rps is \"x\", 20.0 is used"), replacements(oddRate));
+                List.of("settings field cluster.state.next.value_kb is 0, 2.0 is used"), replacements(unusableValue));
         assertEquals(
-                Constants.Defaults.DEFAULT_STORE_RPS,
-                SettingsFile.parse(oddRate).storeLimits().lowestAnnounced().requestsPerS());
-        String noTable = FINE.replace("txn_ops = 12", "txn_ops = 12\nnext = 3");
+                new Settings.StoreLimits(100, 40, SettingsDefaults.VALUE_BYTES, 12, null),
+                SettingsFile.parse(unusableValue).storeLimits().lowestAnnounced());
+        String unusableRate = VALID + "[cluster.state.next]\nrps = \"x\"\n";
+        assertEquals(
+                List.of("settings field cluster.state.next.rps is \"x\", 20.0 is used"), replacements(unusableRate));
+        assertEquals(
+                SettingsDefaults.STORE_RPS,
+                SettingsFile.parse(unusableRate).storeLimits().lowestAnnounced().requestsPerS());
+        String noTable = VALID.replace("txn_ops = 12", "txn_ops = 12\nnext = 3");
         assertEquals(List.of("settings field cluster.state.next is 3, an empty table is used"), replacements(noTable));
         assertEquals(
                 new Settings.StoreLimits(
-                        Constants.Defaults.DEFAULT_STORE_RPS,
-                        Constants.Defaults.DEFAULT_STORE_WRITE_RPS,
-                        Constants.Defaults.DEFAULT_VALUE_BYTES,
-                        Constants.Defaults.DEFAULT_TRANSACTION_WRITES,
+                        SettingsDefaults.STORE_RPS,
+                        SettingsDefaults.STORE_WRITE_RPS,
+                        SettingsDefaults.VALUE_BYTES,
+                        SettingsDefaults.TRANSACTION_WRITES,
                         null),
                 SettingsFile.parse(noTable).storeLimits().lowestAnnounced());
     }
 
-    /** What is replaced is told with its value, and what is refused is told all at once. */
+    /** What is replaced is reported with its value, and what is rejected is reported all at once. */
     @Test
     void everyFindingIsNamed() throws Exception {
-        assertEquals(List.of(), replacements(FINE));
-        assertEquals(List.of("unheard_of"), SettingsFile.loadText(FINE).unknownFields());
+        assertEquals(List.of(), replacements(VALID));
+        assertEquals(List.of("unheard_of"), SettingsFile.loadText(VALID).unknownFields());
         assertEquals(
                 List.of(
                         "settings field cluster.state.rps is -1, 20.0 is used",
                         "settings field cluster.quota.sockets is missing, 100 is used"),
-                replacements(FINE.replace("\nrps = 100.0\n", "\nrps = -1\n").replace("sockets = 2500\n", "")));
-        String both = refusal(FINE.replace("node_name = \"n0\"", "").replace("lease_s = 18.0", "lease_s = \"x\""));
+                replacements(VALID.replace("\nrps = 100.0\n", "\nrps = -1\n").replace("sockets = 2500\n", "")));
+        String both = rejection(VALID.replace("node_name = \"n0\"", "").replace("lease_s = 18.0", "lease_s = \"x\""));
         assertTrue(both.contains("node_name, which is missing"), both);
         assertTrue(both.contains("cluster.workers.lease_s, which is \"x\""), both);
         assertEquals(1, both.lines().count());
@@ -196,15 +201,17 @@
     /** A default allows no more than the settings might have. */
     @Test
     void defaultsAreSmall() throws Exception {
-        Settings s = SettingsFile.parse(FINE.replace("[cluster.state]", "[cluster.other]")
+        Settings settings = SettingsFile.parse(VALID.replace("[cluster.state]", "[cluster.other]")
                 .replace("[cluster.cloud]", "[cluster.other2]")
                 .replace("[cluster.quota]", "[cluster.other3]")
                 .replace("report_s = 3.0\n", ""));
-        assertTrue(s.storeLimits().requestsPerS() <= 20 && s.storeLimits().writesPerS() <= 8);
-        assertTrue(s.storeLimits().valueBytes() <= 2 * 1024 && s.storeLimits().txnOps() <= 2);
-        assertTrue(s.cloud().requestsPerS() <= 1 && s.cloud().listLagMs() >= 30_000);
-        assertEquals(100, s.quota().sockets());
-        assertTrue(s.heartbeatOverdueMs() < s.workers().leaseMs());
+        assertTrue(settings.storeLimits().requestsPerS() <= 20
+                && settings.storeLimits().writesPerS() <= 8);
+        assertTrue(settings.storeLimits().valueBytes() <= 2 * 1024
+                && settings.storeLimits().txnOps() <= 2);
+        assertTrue(settings.cloud().requestsPerS() <= 1 && settings.cloud().listLagMs() >= 30_000);
+        assertEquals(100, settings.quota().sockets());
+        assertTrue(settings.heartbeatOverdueMs() < settings.workers().leaseMs());
     }
 
     /** A cut-off leader, its keep-alive and the workers' lease must all end before a cancellation's bound. */
@@ -212,32 +219,32 @@
     void theChainOfLeasesEndsBeforeTheCancellationBound() throws Exception {
         for (double lease : new double[] {4, 10, 18, 30, 40}) {
             for (double share : new double[] {0, 0.04, 0.09, 0.34}) {
-                Settings s = SettingsFile.parse(FINE.replace("lease_s = 18.0", "lease_s = " + lease)
+                Settings settings = SettingsFile.parse(VALID.replace("lease_s = 18.0", "lease_s = " + lease)
                         .replace("cpu_share = 0.34", "cpu_share = " + share));
                 assertTrue(
-                        s.leadershipMs() + s.keepAliveMs() + s.leaseExpiryMs()
-                                < s.workers().cancelMs(),
+                        settings.leadershipMs() + settings.keepAliveMs() + settings.leaseExpiryMs()
+                                < settings.workers().cancelMs(),
                         "lease " + lease + ", share " + share);
             }
         }
-        assertTrue(refusal(FINE.replace("lease_s = 18.0", "lease_s = 47.0")).contains("cancel_s"));
+        assertTrue(rejection(VALID.replace("lease_s = 18.0", "lease_s = 47.0")).contains("cancel_s"));
     }
 
     /** Renewals of a process on a small share come late: with 5 s its leadership ended again and again. */
     @Test
     void leadershipLastsLongerOnASmallShareOfACore() throws Exception {
-        assertEquals(5_000, SettingsFile.parse(FINE).leadershipMs());
+        assertEquals(5_000, SettingsFile.parse(VALID).leadershipMs());
         assertEquals(
                 10_000,
-                SettingsFile.parse(FINE.replace("cpu_share = 0.34", "cpu_share = 0.041"))
+                SettingsFile.parse(VALID.replace("cpu_share = 0.34", "cpu_share = 0.041"))
                         .leadershipMs());
     }
 
     @Test
-    void operatorsOwnSettingsAreChecked() throws Exception {
-        OperatorSettings own = OperatorSettings.parse("<operator><idle-ms>9000</idle-ms></operator>");
-        assertEquals(9_000, own.idleMs());
-        assertEquals(OperatorSettings.DEFAULTS.cycleMaxMs(), own.cycleMaxMs());
+    void operatorSettingsAreChecked() throws Exception {
+        OperatorSettings settings = OperatorSettings.parse("<operator><idle-ms>9000</idle-ms></operator>");
+        assertEquals(9_000, settings.idleMs());
+        assertEquals(OperatorSettings.DEFAULTS.cycleMaxMs(), settings.cycleMaxMs());
         for (String[] bad : new String[][] {
             {"<operator><idle-ms>soon</idle-ms></operator>", "idle-ms"},
             {"<operator><lease>1</lease></operator>", "lease"},
