--- /dev/null
+++ b/src/main/java/org/spoolline/cli/NodeProcess.java
@@ -0,0 +1,101 @@
+package org.spoolline.cli;
+
+import java.io.IOException;
+import java.net.BindException;
+import java.util.SplittableRandom;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.Controller;
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.net.Http;
+import org.xnio.XnioWorker;
+
+/** One controller node as a process: starts the controller on the event loop and listens on its addresses. */
+final class NodeProcess {
+    private static final Logger LOG = LoggerFactory.getLogger(NodeProcess.class);
+
+    private final Settings settings;
+    private final ProcessNetwork network;
+    private final Controller controller;
+    private boolean listensForUsers;
+
+    private NodeProcess(Settings settings, XnioWorker worker) {
+        this.settings = settings;
+        network = ProcessNetwork.on(worker, settings);
+        controller = new Controller(settings, network.loop(), network.caller(), new SplittableRandom());
+    }
+
+    /** Serves until the process is killed; returns an exit code when it could not start. */
+    static int run(Settings settings) {
+        try {
+            XnioWorker worker = ProcessNetwork.createWorker();
+            start(settings, worker);
+            // Parks this thread for good: a virtual machine was seen to crash in the C library's read while the thread
+            // that started it was still shutting down.
+            worker.awaitTermination();
+            return 0;
+        } catch (IOException | InterruptedException | RuntimeException e) {
+            return ProcessExit.say(ProcessExit.CANNOT_START, "can't start: " + rootCause(e));
+        }
+    }
+
+    /** Starts a node on the worker's I/O thread and returns at once. */
+    static void start(Settings settings, XnioWorker worker) {
+        NodeProcess node = new NodeProcess(settings, worker);
+        LOG.info(
+                "Starting controller: node={} serveOn={} internalAddress={}",
+                settings.node(),
+                settings.serveOn(),
+                settings.internalAddress());
+        SettingsLog.logSummary(settings);
+        node.network.loop().after(0, node::startController);
+    }
+
+    /**
+     * Listens for users and workers only once the leader is known, or after a timeout: after a crash of all controllers
+     * a thousand workers connect at once to a process whose classes are not loaded yet, and would keep it from the very
+     * election without which it has no answer for them.
+     */
+    private void startController() {
+        controller.start(this::listenForUsers);
+        listen(settings.internalAddress(), controller::servePeer, Constants.Network.BIND_TRIES);
+        network.loop().after(Constants.Process.LEADER_DISCOVERY_TIMEOUT_MS, this::listenForUsers);
+    }
+
+    private void listenForUsers() {
+        if (!listensForUsers) {
+            listensForUsers = true;
+            listen(settings.serveOn(), controller::serve, Constants.Network.BIND_TRIES);
+        }
+    }
+
+    /** Retries an address that is in use, since a predecessor that was just killed may hold it a moment longer. */
+    private void listen(String address, Http.Handler handler, int triesLeft) {
+        try {
+            network.server().listen(address, handler);
+        } catch (IOException | RuntimeException e) {
+            // A boundary: whatever keeps a node from listening, it must not run on without being reachable.
+            Throwable cause = rootCause(e);
+            boolean inUse = cause instanceof BindException;
+            if (inUse && triesLeft > 1) {
+                network.loop().after(Constants.Network.BIND_RETRY_MS, () -> listen(address, handler, triesLeft - 1));
+            } else {
+                halt(address, inUse ? "address in use or not ours" : cause.toString());
+            }
+        }
+    }
+
+    private static void halt(String address, String reason) {
+        int exitCode = ProcessExit.say(ProcessExit.CANNOT_START, "can't serve on " + address + ": " + reason);
+        Runtime.getRuntime().halt(exitCode);
+    }
+
+    private static Throwable rootCause(Throwable e) {
+        Throwable cause = e;
+        while (cause.getCause() != null) {
+            cause = cause.getCause();
+        }
+        return cause;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/cli/ProcessLogging.java
@@ -0,0 +1,37 @@
+package org.spoolline.cli;
+
+import java.util.List;
+import java.util.Locale;
+import org.slf4j.simple.SimpleServiceProvider;
+
+/** Sets the process's log up: slf4j-simple on standard error, at the level that {@code LOG_LEVEL} asks for. */
+final class ProcessLogging {
+    private static final String DEFAULT_LEVEL = "info";
+    private static final List<String> LEVELS = List.of("error", DEFAULT_LEVEL, "debug");
+
+    private ProcessLogging() {}
+
+    /** Must run before the first logger is made, since slf4j reads these properties only once. */
+    static void configure(String requestedLevel) {
+        String level = supportedLevel(requestedLevel);
+        System.setProperty("slf4j.provider", SimpleServiceProvider.class.getName());
+        System.setProperty("org.jboss.logging.provider", "slf4j");
+        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
+        System.setProperty("org.slf4j.simpleLogger.log.org.spoolline", level);
+        System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
+        System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
+    }
+
+    /** An unsupported level is reported and replaced by the default: it is no reason to keep a node from starting. */
+    private static String supportedLevel(String requested) {
+        if (requested == null) {
+            return DEFAULT_LEVEL;
+        }
+        String level = requested.toLowerCase(Locale.ROOT);
+        if (LEVELS.contains(level)) {
+            return level;
+        }
+        System.err.println("spoolline: LOG_LEVEL is " + requested + ", " + DEFAULT_LEVEL + " is used");
+        return DEFAULT_LEVEL;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/cli/ProcessNetwork.java
@@ -0,0 +1,49 @@
+package org.spoolline.cli;
+
+import io.undertow.server.DefaultByteBufferPool;
+import java.io.IOException;
+import org.spoolline.config.Constants;
+import org.spoolline.config.Settings;
+import org.spoolline.net.EventLoop;
+import org.spoolline.net.ExceptionBoundary;
+import org.spoolline.net.UndertowCaller;
+import org.spoolline.net.UndertowServer;
+import org.spoolline.net.XnioEventLoop;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.XnioIoThread;
+import org.xnio.XnioWorker;
+import org.xnio.nio.NioXnioProvider;
+
+/**
+ * The event loop of a process, with the HTTP client and server that run on it.
+ *
+ * @param loop   the worker's only I/O thread
+ * @param caller sends requests
+ * @param server listens
+ */
+record ProcessNetwork(EventLoop loop, UndertowCaller caller, UndertowServer server) {
+    /** One I/O thread, which is the event loop; XNIO insists on a task thread too, which idles. */
+    static XnioWorker createWorker() throws IOException {
+        return new NioXnioProvider()
+                .getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.TCP_NODELAY, true)
+                        .getMap());
+    }
+
+    /** Runs on the given worker. An error that no task recovers from halts the process, without shutdown hooks. */
+    static ProcessNetwork on(XnioWorker worker, Settings settings) {
+        XnioIoThread thread = worker.getIoThread();
+        ExceptionBoundary boundary = new ExceptionBoundary(Runtime.getRuntime()::halt);
+        DefaultByteBufferPool buffers =
+                new DefaultByteBufferPool(false, Constants.Network.BUFFER_BYTES, Constants.Network.BUFFERS_KEPT, 0);
+        return new ProcessNetwork(
+                new XnioEventLoop(thread, boundary),
+                new UndertowCaller(thread, buffers, settings.idleConnections(), boundary),
+                new UndertowServer(worker, buffers, settings.backlog(), boundary));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spoolline/cli/SettingsLog.java
@@ -0,0 +1,60 @@
+package org.spoolline.cli;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spoolline.config.Settings;
+import org.spoolline.config.SettingsFile;
+
+/**
+ * Logs at each start which settings the node uses. Records are logged field by field: their own {@code toString} is linked
+ * at run time by classes that no class data archive holds.
+ */
+final class SettingsLog {
+    private static final Logger LOG = LoggerFactory.getLogger(SettingsLog.class);
+    private static final long BYTES_PER_MIB = 1024 * 1024;
+
+    private SettingsLog() {}
+
+    /** Logs what the reading of the settings file found. */
+    static void logFindings(SettingsFile.Loaded loaded) {
+        loaded.replacements().forEach(SettingsLog::logReplacement);
+        if (!loaded.unknownFields().isEmpty()) {
+            LOG.info("Ignored unknown settings fields: fields={}", loaded.unknownFields());
+        }
+    }
+
+    private static void logReplacement(SettingsFile.Replacement replacement) {
+        LOG.error(
+                "Replaced settings field by a default: field={} found={} used={}",
+                replacement.field(),
+                replacement.found(),
+                replacement.used());
+    }
+
+    /** Logs the settings in use, and which of the process's limits are too low for it. */
+    static void logSummary(Settings settings) {
+        LOG.info(
+                "Settings in use: controllers={} teams={} workerLeaseMs={} cancelMs={} leadershipMs={} heapMiB={}",
+                settings.controllers(),
+                settings.teams().size(),
+                settings.workers().leaseMs(),
+                settings.workers().cancelMs(),
+                settings.leadershipMs(),
+                Runtime.getRuntime().maxMemory() / BYTES_PER_MIB);
+        logLimits("current", settings.storeLimits());
+        if (settings.storeLimits().announced() != null) {
+            logLimits("announced", settings.storeLimits().announced());
+        }
+        settings.shortages().forEach(shortage -> LOG.error("Process limit too low to serve in full: {}", shortage));
+    }
+
+    private static void logLimits(String validity, Settings.StoreLimits limits) {
+        LOG.info(
+                "Key-value store limits: validity={} requestsPerS={} writesPerS={} valueBytes={} transactionWrites={}",
+                validity,
+                limits.requestsPerS(),
+                limits.writesPerS(),
+                limits.valueBytes(),
+                limits.txnOps());
+    }
+}
--- a/src/test/java/org/spoolline/cli/MainTest.java
+++ b/src/test/java/org/spoolline/cli/MainTest.java
@@ -16,6 +16,7 @@
 class MainTest {
     private static final String SETTINGS = SampleSettings.NODE;
 
+    /** How the process ended, with all that it wrote. */
     private record Ended(int exitCode, String output) {}
 
     private static Ended check(Path directory, String logLevel, String settings)
