--- a/src/main/java/org/spoolline/net/ExceptionBoundary.java
+++ b/src/main/java/org/spoolline/net/ExceptionBoundary.java
@@ -6,33 +6,34 @@
 import org.spoolline.config.Constants;
 
 /**
- * Runs what the loop's thread is given to do. A task that fails is logged and the loop goes on; an error that is no
- * exception, such as memory that is full or a class that can't be loaded, ends the process, so that the platform starts
- * it anew. A node left half alive once answered check-ins while its cycles came to nothing.
+ * The exception boundary of the event loop: everything that its thread runs is run by {@link #run}. A task that fails by an
+ * exception is logged, and the loop goes on. An {@link Error}, such as exhausted memory or a class that can't be loaded,
+ * ends the process, so that the platform restarts it: a node that ran on after one answered heartbeats although none of its
+ * scheduling cycles succeeded.
  */
 public final class ExceptionBoundary {
     private static final Logger LOG = LoggerFactory.getLogger(ExceptionBoundary.class);
 
-    private final IntConsumer exit;
+    private final IntConsumer halt;
 
-    /** {@code exit} ends the process with an exit code, at once. */
-    public ExceptionBoundary(IntConsumer end) {
-        this.exit = end;
+    /** {@code halt} ends the process with the given exit code, at once and without shutdown hooks. */
+    public ExceptionBoundary(IntConsumer halt) {
+        this.halt = halt;
     }
 
-    /** Runs the task; {@code what} names it in the log. False when it failed. */
-    public boolean run(String what, Runnable task) {
+    /** Runs the task; {@code name} names it in the log. False when it failed. */
+    public boolean run(String name, Runnable task) {
         try {
             task.run();
             return true;
         } catch (RuntimeException e) {
-            LOG.error("{} failed", what, e);
+            LOG.error("Task failed: task={}", name, e);
         } catch (Error e) {
-            // The log itself may fail for the same reason.
+            // Logging may fail for the same reason, and must not keep the process from ending.
             try {
-                LOG.error("{} met an error that nobody here can mend; the process ends", what, e);
+                LOG.error("Unrecoverable error, ending the process: task={}", name, e);
             } finally {
-                exit.accept(Constants.Process.EXIT_ERROR);
+                halt.accept(Constants.Process.EXIT_ERROR);
             }
         }
         return false;
--- a/src/main/java/org/spoolline/net/Json.java
+++ b/src/main/java/org/spoolline/net/Json.java
@@ -11,22 +11,24 @@
 import java.io.UncheckedIOException;
 import org.spoolline.codec.TreeCodec;
 
-/** JSON trees, the form of all JSON but heartbeats, which are read as they stream by. */
+/** Reads and writes JSON as trees. Heartbeats, which are many, are read by {@link #parser} without a tree. */
 public final class Json {
     private static final JsonFactory FORMAT = new JsonFactory();
     private static final TreeCodec CODEC = new TreeCodec(FORMAT);
 
     private Json() {}
 
-    /** For what is read as it streams by. */
+    /** A parser for content that is read token by token. */
     public static JsonParser parser(byte[] bytes) throws IOException {
         return FORMAT.createParser(bytes);
     }
 
+    /** A new, empty JSON object. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
+    /** A new, empty JSON array. */
     public static ArrayNode array() {
         return JsonNodeFactory.instance.arrayNode();
     }
@@ -40,11 +42,12 @@
         }
     }
 
-    /** The body of every answer that says what is wrong. */
-    public static byte[] error(String why) {
-        return bytes(object().put("error", why));
+    /** The body of every response that reports an error. */
+    public static byte[] error(String message) {
+        return bytes(object().put("error", message));
     }
 
+    /** The encoded tree. */
     public static byte[] bytes(JsonNode tree) {
         try {
             return CODEC.write(tree);
--- a/src/main/java/org/spoolline/net/Timeout.java
+++ b/src/main/java/org/spoolline/net/Timeout.java
@@ -6,15 +6,21 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Gives a call up after its time. A loop that is late itself meets its timers before the answers that came in time: it
- * once gave up renewals of leadership that had long been answered. So a timer that fires late looks at the network once
- * more, for as long as the loop was late.
+ * Ends a call after a time. A loop that was busy runs the timers that are due before it reads the responses that arrived in
+ * the meantime, so that it gave up renewals of leadership that had long been answered. A timer that fires late therefore
+ * lets the loop read from the network first, for as long as the loop was late.
  */
 final class Timeout {
     private final XnioExecutor executor;
     private final Runnable expired;
     private XnioExecutor.Key key;
 
+    /**
+     * Starts the timeout.
+     *
+     * @param clockMs monotonic time in ms
+     * @param expired runs on the executor, unless the timeout is cancelled before
+     */
     Timeout(XnioExecutor executor, LongSupplier clockMs, long timeoutMs, Runnable expired) {
         this.executor = executor;
         this.expired = expired;
@@ -31,6 +37,7 @@
         }
     }
 
+    /** Keeps {@code expired} from running; without effect once it has run. */
     void cancel() {
         key.remove();
     }
--- /dev/null
+++ b/src/main/java/org/spoolline/net/UndertowCall.java
@@ -0,0 +1,181 @@
+package org.spoolline.net;
+
+import io.undertow.client.ClientCallback;
+import io.undertow.client.ClientConnection;
+import io.undertow.client.ClientExchange;
+import io.undertow.client.ClientRequest;
+import io.undertow.client.ClientResponse;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.function.Consumer;
+import org.spoolline.config.Constants;
+import org.xnio.ChannelListeners;
+import org.xnio.IoUtils;
+import org.xnio.channels.StreamSinkChannel;
+import org.xnio.channels.StreamSourceChannel;
+
+/**
+ * One request and its response. Every step that can't go on at once is resumed by a callback on the event loop; whichever
+ * of response, failure and timeout comes first ends the call, and the others are ignored.
+ */
+final class UndertowCall {
+    private final UndertowCaller caller;
+    private final String target;
+    private final String method;
+    private final String path;
+    private final byte[] body;
+    private final Consumer<Http.Reply> done;
+    private ClientConnection connection;
+    private Timeout timeout;
+    private boolean ended;
+
+    /** A call that is not started yet; {@code body} is null for a request without one. */
+    UndertowCall(
+            UndertowCaller caller, String target, String method, String path, byte[] body, Consumer<Http.Reply> done) {
+        this.caller = caller;
+        this.target = target;
+        this.method = method;
+        this.path = path;
+        this.body = body;
+        this.done = done;
+    }
+
+    /** Sends the request on an idle connection, or on a new one when there is none. */
+    void start(long timeoutMs) {
+        timeout = caller.startTimeout(timeoutMs, this::fail);
+        ClientConnection idle = caller.takeIdle(target);
+        if (idle != null) {
+            send(idle);
+        } else {
+            caller.connect(target, new Step<>(this::connected));
+        }
+    }
+
+    private void connected(ClientConnection opened) {
+        if (ended) {
+            IoUtils.safeClose(opened);
+        } else {
+            send(opened);
+        }
+    }
+
+    private void send(ClientConnection on) {
+        connection = on;
+        ClientRequest request =
+                new ClientRequest().setMethod(new HttpString(method)).setPath(path);
+        request.getRequestHeaders().put(Headers.HOST, target);
+        if (body != null) {
+            request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
+            request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
+        }
+        on.sendRequest(request, new Step<>(this::requestStarted));
+    }
+
+    private void requestStarted(ClientExchange exchange) {
+        exchange.setResponseListener(new Step<>(this::responseStarted));
+        if (body != null) {
+            write(exchange.getRequestChannel(), ByteBuffer.wrap(body));
+        }
+    }
+
+    private void write(StreamSinkChannel sink, ByteBuffer data) {
+        try {
+            while (data.hasRemaining()) {
+                if (sink.write(data) == 0) {
+                    sink.getWriteSetter().set(channel -> write(sink, data));
+                    sink.resumeWrites();
+                    return;
+                }
+            }
+            endRequest(sink);
+        } catch (IOException e) {
+            fail();
+        }
+    }
+
+    private void endRequest(StreamSinkChannel sink) throws IOException {
+        sink.suspendWrites();
+        sink.shutdownWrites();
+        if (!sink.flush()) {
+            sink.getWriteSetter().set(ChannelListeners.flushingChannelListener(null, (channel, e) -> fail()));
+            sink.resumeWrites();
+        }
+    }
+
+    private void responseStarted(ClientExchange exchange) {
+        ByteBuffer chunk = ByteBuffer.allocate(Constants.Network.READ_CHUNK_BYTES);
+        read(exchange.getResponseChannel(), chunk, new ByteArrayOutputStream(), exchange.getResponse());
+    }
+
+    private void read(
+            StreamSourceChannel source, ByteBuffer chunk, ByteArrayOutputStream received, ClientResponse response) {
+        try {
+            while (true) {
+                chunk.clear();
+                int count = source.read(chunk);
+                if (count < 0) {
+                    complete(response, received.toByteArray());
+                    return;
+                }
+                if (count == 0) {
+                    source.getReadSetter().set(channel -> read(source, chunk, received, response));
+                    source.resumeReads();
+                    return;
+                }
+                received.write(chunk.array(), 0, count);
+            }
+        } catch (IOException e) {
+            fail();
+        }
+    }
+
+    private void complete(ClientResponse response, byte[] received) {
+        if (ended) {
+            return;
+        }
+        ended = true;
+        timeout.cancel();
+        if (closesConnection(response) || !connection.isOpen()) {
+            IoUtils.safeClose(connection);
+        } else {
+            caller.release(target, connection);
+        }
+        caller.deliver(new Http.Reply(response.getResponseCode(), received), done);
+    }
+
+    private static boolean closesConnection(ClientResponse response) {
+        return "close".equalsIgnoreCase(response.getResponseHeaders().getFirst(Headers.CONNECTION));
+    }
+
+    private void fail() {
+        if (ended) {
+            return;
+        }
+        ended = true;
+        timeout.cancel();
+        IoUtils.safeClose(connection);
+        caller.deliver(Http.Reply.NONE, done);
+    }
+
+    /** Goes on with the call after a step of Undertow's that succeeded, and fails the call after one that did not. */
+    private final class Step<T> implements ClientCallback<T> {
+        private final Consumer<T> next;
+
+        Step(Consumer<T> next) {
+            this.next = next;
+        }
+
+        @Override
+        public void completed(T result) {
+            next.accept(result);
+        }
+
+        @Override
+        public void failed(IOException e) {
+            fail();
+        }
+    }
+}
--- a/src/main/java/org/spoolline/net/UndertowServer.java
+++ b/src/main/java/org/spoolline/net/UndertowServer.java
@@ -20,14 +20,14 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Listens on addresses and serves their handlers on the worker's I/O thread. */
+/** Listens on addresses and hands the requests to their handlers, on the event loop. */
 public final class UndertowServer {
     private final XnioWorker worker;
     private final ByteBufferPool buffers;
     private final int backlog;
     private final ExceptionBoundary boundary;
 
-    /** {@code backlog}: connections that may wait to be accepted, as when all workers come from a node that ended. */
+    /** {@code backlog}: connections that may wait to be accepted, for the time when the workers of a node that ended connect. */
     public UndertowServer(XnioWorker worker, ByteBufferPool buffers, int backlog, ExceptionBoundary boundary) {
         this.worker = worker;
         this.buffers = buffers;
@@ -35,7 +35,7 @@
         this.boundary = boundary;
     }
 
-    /** Starts listening; throws when the address can't be bound. */
+    /** Starts listening on host:port; throws an IOException when the address can't be bound. */
     public void listen(String address, Http.Handler handler) throws IOException {
         OptionMap http = OptionMap.builder()
                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
@@ -63,7 +63,7 @@
 
     private void receive(HttpServerExchange exchange, Http.Handler handler) {
         if (exchange.getRequestContentLength() > Constants.Network.MAX_BODY_BYTES) {
-            refuse(exchange);
+            reject(exchange);
             return;
         }
         if (exchange.isRequestComplete()) {
@@ -75,27 +75,27 @@
         read(exchange, exchange.getRequestChannel(), body, handler);
     }
 
-    /** Reads the body in bulk: Undertow's own receiver copies it byte by byte, half the cost of a check-in. */
+    /** Reads the body in bulk: Undertow's own receiver copies it byte by byte, half the cost of a heartbeat. */
     private void read(
-            HttpServerExchange exchange, StreamSourceChannel source, ByteBuffer collected, Http.Handler handler) {
-        ByteBuffer body = collected;
+            HttpServerExchange exchange, StreamSourceChannel source, ByteBuffer received, Http.Handler handler) {
+        ByteBuffer body = received;
         try {
             while (true) {
                 if (!body.hasRemaining()) {
                     if (body.position() > Constants.Network.MAX_BODY_BYTES) {
-                        refuse(exchange);
+                        reject(exchange);
                         return;
                     }
                     body = ByteBuffer.allocate(body.capacity() * 2).put(body.flip());
                 }
-                int read = source.read(body);
-                if (read < 0) {
+                int count = source.read(body);
+                if (count < 0) {
                     dispatch(exchange, Arrays.copyOf(body.array(), body.position()), handler);
                     return;
                 }
-                if (read == 0) {
-                    ByteBuffer soFar = body;
-                    source.getReadSetter().set(ch -> read(exchange, source, soFar, handler));
+                if (count == 0) {
+                    ByteBuffer incomplete = body;
+                    source.getReadSetter().set(channel -> read(exchange, source, incomplete, handler));
                     source.resumeReads();
                     return;
                 }
@@ -105,7 +105,7 @@
         }
     }
 
-    private static void refuse(HttpServerExchange exchange) {
+    private static void reject(HttpServerExchange exchange) {
         exchange.setPersistent(false);
         send(exchange, Http.Response.of(400, Constants.Network.BODY_TOO_LARGE));
     }
@@ -116,14 +116,13 @@
         }
         Http.Request request = new Http.Request(
                 exchange.getRequestMethod().toString(), exchange.getRequestPath(), exchange.getQueryString(), body);
-        // In the same call: through the loop's queue each request would be one more task, and the loop looks at the
-        // network
-        // and its timers only when no task is left.
+        // Within this call: each queued request would be one more task of the loop, which reads from the network and
+        // runs its timers only when no task is left.
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            boolean fine = boundary.run(
+            boolean succeeded = boundary.run(
                     request.method() + " " + request.path(),
                     () -> handler.handle(request, response -> send(exchange, response)));
-            if (!fine && !exchange.isResponseStarted()) {
+            if (!succeeded && !exchange.isResponseStarted()) {
                 send(exchange, new Http.Response(503, new byte[0], Constants.Api.RETRY_AFTER_S));
             }
         });
--- a/src/main/java/org/spoolline/net/XnioEventLoop.java
+++ b/src/main/java/org/spoolline/net/XnioEventLoop.java
@@ -3,17 +3,18 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioIoThread;
 
-/** The loop of a real process: the worker's only XNIO I/O thread. */
+/** The event loop of a real process: the only I/O thread of its XNIO worker. Tasks may be added from any thread. */
 public final class XnioEventLoop implements EventLoop {
     private final XnioIoThread thread;
     private final ExceptionBoundary boundary;
 
+    /** Runs tasks on the given thread, each within the boundary, so that one that fails does not end the thread. */
     public XnioEventLoop(XnioIoThread thread, ExceptionBoundary boundary) {
         this.thread = thread;
         this.boundary = boundary;
     }
 
-    /** Ms of the steady clock. */
+    /** Monotonic time in ms. */
     static long clockMs() {
         return System.nanoTime() / 1_000_000;
     }
@@ -30,7 +31,7 @@
 
     @Override
     public void after(long delayMs, Runnable task) {
-        Runnable guarded = () -> boundary.run("a timer task", task);
+        Runnable guarded = () -> boundary.run("timer", task);
         if (delayMs <= 0) {
             thread.execute(guarded);
         } else {
--- a/src/main/java/org/spoolline/net/package-info.java
+++ b/src/main/java/org/spoolline/net/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP over Undertow, the event loop, rate limiting and JSON. */
+/** HTTP over Undertow, the event loop with its exception boundary, rate limiting and JSON. */
 package org.spoolline.net;
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresExtension.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresExtension.java
@@ -34,7 +34,7 @@
         run(method.getDeclaringClass().getName(), method.getName(), invocation);
     }
 
-    /** Runs one test and turns its outcome round if it is listed. */
+    /** Runs one test, and inverts its outcome if it is listed. */
     void run(String className, String methodName, Invocation<Void> invocation) throws Throwable {
         Optional<KnownFailuresList.Entry> listed = list.find(className, methodName);
         if (listed.isEmpty()) {
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresList.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresList.java
@@ -17,14 +17,15 @@
  * and lines that begin with {@code #} are comments.
  */
 final class KnownFailuresList {
-    /** The users' bound: more than this is mended, not listed. */
-    static final int MOST_ENTRIES = 3;
+    /** The users' limit: any more failures are fixed, not listed. */
+    static final int MAX_ENTRIES = 3;
 
     private static final Path FILE = Path.of("KNOWN-RED.txt");
     private static final int FIELDS = 3;
 
     /** One test that is known to fail. */
     record Entry(String className, String methodName, String cause, String issue) {
+        /** The test as it is written in the file. */
         String test() {
             return className + "#" + methodName;
         }
@@ -70,6 +71,7 @@
         return new Entry(test[0], test[1], fields.get(1), fields.get(2));
     }
 
+    /** The entries in the order of the file. */
     List<Entry> entries() {
         return entries;
     }
@@ -77,15 +79,16 @@
     /** The entry of a test, if it is listed. */
     Optional<Entry> find(String className, String methodName) {
         return entries.stream()
-                .filter(e -> e.className().equals(className) && e.methodName().equals(methodName))
+                .filter(entry -> entry.className().equals(className)
+                        && entry.methodName().equals(methodName))
                 .findFirst();
     }
 
-    /** What is wrong with the list itself: too many entries, one twice, or one whose test does not exist. */
-    List<String> faults() {
+    /** What is wrong with the list itself, one text each: too many entries, one twice, or one whose test does not exist. */
+    List<String> problems() {
         List<String> found = new ArrayList<>();
-        if (entries.size() > MOST_ENTRIES) {
-            found.add(entries.size() + " tests are listed, at most " + MOST_ENTRIES + " may be");
+        if (entries.size() > MAX_ENTRIES) {
+            found.add(entries.size() + " tests are listed, at most " + MAX_ENTRIES + " may be");
         }
         Set<String> seen = new HashSet<>();
         for (Entry entry : entries) {
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresTest.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.extension.InvocationInterceptor.Invocation;
 import org.opentest4j.TestAbortedException;
 
-/** The list of known failures, and what becomes of the tests on it. */
+/** The list of known failures, and the outcome of the tests on it. */
 class KnownFailuresTest {
     private static final String THIS = KnownFailuresTest.class.getName();
     private static final String LISTED_TEST = THIS + "#listedTestsThatPassFailTheRun";
@@ -31,10 +31,10 @@
     }
 
     @Test
-    void theListOfThisRepositoryIsInOrder() {
+    void theListOfThisRepositoryIsValid() {
         KnownFailuresList list = KnownFailuresList.read();
         list.entries().forEach(entry -> System.out.println("KNOWN-RED.txt: " + entry));
-        assertEquals(List.of(), list.faults());
+        assertEquals(List.of(), list.problems());
     }
 
     @Test
@@ -57,16 +57,19 @@
     }
 
     @Test
-    void entriesWithoutATestACauseOrAnIssueAreRefused() {
-        assertEquals(List.of(), listOf(LISTED_TEST + " | cause | issue 7").faults());
-        assertTrue(listOf(THIS + "#gone | cause | issue 7").faults().toString().contains("is no test"));
-        assertTrue(listOf("org.gone.Test#gone | cause | issue 7")
-                .faults()
+    void entriesWithoutATestACauseOrAnIssueAreRejected() {
+        assertEquals(List.of(), listOf(LISTED_TEST + " | cause | issue 7").problems());
+        assertTrue(listOf(THIS + "#missing | cause | issue 7")
+                .problems()
+                .toString()
+                .contains("is no test"));
+        assertTrue(listOf("org.missing.Test#missing | cause | issue 7")
+                .problems()
                 .toString()
                 .contains("is no test"));
         String line = LISTED_TEST + " | cause | issue 7";
-        assertTrue(listOf(line, line).faults().toString().contains("twice"));
-        assertTrue(listOf(line, line, line, line).faults().toString().contains("at most 3"));
+        assertTrue(listOf(line, line).problems().toString().contains("twice"));
+        assertTrue(listOf(line, line, line, line).problems().toString().contains("at most 3"));
         for (String incomplete : List.of("Test", LISTED_TEST + " | cause", LISTED_TEST + " | cause | later")) {
             assertThrows(IllegalArgumentException.class, () -> listOf(incomplete));
         }
--- a/src/test/java/org/spoolline/net/ExceptionBoundaryTest.java
+++ b/src/test/java/org/spoolline/net/ExceptionBoundaryTest.java
@@ -10,8 +10,8 @@
 import org.spoolline.config.Constants;
 
 class ExceptionBoundaryTest {
-    private final List<Integer> ends = new ArrayList<>();
-    private final ExceptionBoundary boundary = new ExceptionBoundary(ends::add);
+    private final List<Integer> exitCodes = new ArrayList<>();
+    private final ExceptionBoundary boundary = new ExceptionBoundary(exitCodes::add);
 
     @Test
     void anExceptionStopsNothing() {
@@ -19,15 +19,15 @@
         assertFalse(boundary.run("a task", () -> {
             throw new IllegalStateException("expected here");
         }));
-        assertEquals(List.of(), ends);
+        assertEquals(List.of(), exitCodes);
     }
 
-    /** A class that could not be loaded once left a leader that answered check-ins and decided nothing. */
+    /** A class that could not be loaded once left a leader that answered heartbeats and decided nothing. */
     @Test
     void anErrorEndsTheProcess() {
         assertFalse(boundary.run("a task", () -> {
             throw new NoClassDefFoundError("expected here");
         }));
-        assertEquals(List.of(Constants.Process.EXIT_ERROR), ends);
+        assertEquals(List.of(Constants.Process.EXIT_ERROR), exitCodes);
     }
 }
--- a/src/test/java/org/spoolline/net/FakeEventLoop.java
+++ b/src/test/java/org/spoolline/net/FakeEventLoop.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A loop whose time a test moves, and whose timers may all fire late. */
+/** An event loop whose time a test sets, and whose timers may all fire late. */
 public final class FakeEventLoop implements EventLoop {
     private record Timer(long at, Runnable task) {}
 
@@ -28,17 +28,17 @@
         timers.add(new Timer(now + delayMs, task));
     }
 
-    /** From now on each timer fires so much after its time. */
+    /** From now on each timer fires this much after it is due. */
     public void lateBy(long ms) {
         lateMs = ms;
     }
 
-    /** Time passes in which the loop is busy: no timer fires. */
+    /** Lets time pass while the loop is busy, so that no timer fires. */
     public void standStill(long ms) {
         now += ms;
     }
 
-    /** Runs the timers that are due until then. */
+    /** Runs the timers that are due by then. */
     public void runTo(long until) {
         for (Optional<Timer> next = next(); next.isPresent() && next.get().at() <= until; next = next()) {
             fire(next.get());
--- /dev/null
+++ b/src/test/java/org/spoolline/net/IdleConnectionsTest.java
@@ -0,0 +1,66 @@
+package org.spoolline.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+
+import io.undertow.client.ClientConnection;
+import java.lang.reflect.Proxy;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Which idle connections are used again, and which are closed when there are too many. */
+class IdleConnectionsTest {
+    private final List<String> closed = new ArrayList<>();
+
+    private ClientConnection connection(String name) {
+        return (ClientConnection) Proxy.newProxyInstance(
+                ClientConnection.class.getClassLoader(),
+                new Class<?>[] {ClientConnection.class},
+                (proxy, method, arguments) -> switch (method.getName()) {
+                    case "isOpen" -> !closed.contains(name);
+                    case "close" -> closed.add(name);
+                    default -> throw new UnsupportedOperationException(method.getName());
+                });
+    }
+
+    @Test
+    void theConnectionUsedLastIsTakenFirst() {
+        IdleConnections idle = new IdleConnections(4);
+        ClientConnection first = connection("first");
+        ClientConnection second = connection("second");
+        idle.add("a", first);
+        idle.add("a", second);
+        assertNull(idle.take("b"));
+        assertSame(second, idle.take("a"));
+        assertSame(first, idle.take("a"));
+        assertNull(idle.take("a"));
+    }
+
+    @Test
+    void connectionsThatTheTargetClosedAreSkipped() {
+        IdleConnections idle = new IdleConnections(4);
+        ClientConnection open = connection("open");
+        idle.add("a", open);
+        idle.add("a", connection("shut"));
+        closed.add("shut");
+        assertSame(open, idle.take("a"));
+        assertNull(idle.take("a"));
+    }
+
+    /** Of the target that was used longest ago, the connection that was used longest ago. */
+    @Test
+    void theOldestConnectionsAreClosedWhenThereAreTooMany() {
+        IdleConnections idle = new IdleConnections(3);
+        idle.add("a", connection("a1"));
+        idle.add("a", connection("a2"));
+        idle.add("b", connection("b1"));
+        idle.add("c", connection("c1"));
+        assertEquals(List.of("a1"), closed);
+        ClientConnection used = idle.take("a");
+        idle.add("a", used);
+        idle.add("c", connection("c2"));
+        assertEquals(List.of("a1", "b1"), closed);
+    }
+}
--- a/src/test/java/org/spoolline/net/TimeoutTest.java
+++ b/src/test/java/org/spoolline/net/TimeoutTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.xnio.XnioExecutor;
 
-/** Calls on a loop whose lateness the test decides. */
+/** Timeouts on an event loop whose lateness the test decides. */
 class TimeoutTest {
     private final List<Runnable> timers = new ArrayList<>();
     private final List<Long> delays = new ArrayList<>();
@@ -39,16 +39,16 @@
     }
 
     @Test
-    void aTimerInTimeGivesTheCallUp() {
+    void aTimerThatFiresInTimeEndsTheCall() {
         new Timeout(loop, () -> now, 1_000, () -> expired++);
         fire(1_010);
         assertEquals(1, expired);
         assertEquals(List.of(), timers);
     }
 
-    /** An answer that was there before the late timer is read in between, and cancels it. */
+    /** A response that arrived before the late timer is read first, and cancels it. */
     @Test
-    void aLateTimerWaitsForTheNetworkOnceMore() {
+    void aLateTimerReadsFromTheNetworkFirst() {
         Timeout timeout = new Timeout(loop, () -> now, 1_000, () -> expired++);
         fire(2_200);
         assertEquals(0, expired);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aCallWithoutAnswerIsGivenUpAllTheSame() {
+    void aCallWithoutResponseEndsAllTheSame() {
         new Timeout(loop, () -> now, 1_000, () -> expired++);
         fire(60_000);
         assertEquals(2_000L, delays.get(1));
