--- a/src/test/java/org/spoolline/election/LeaderElectionTest.java
+++ b/src/test/java/org/spoolline/election/LeaderElectionTest.java
@@ -2,14 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import org.spoolline.config.Constants;
 import org.spoolline.config.OperatorSettings;
 import org.spoolline.config.Settings;
 import org.spoolline.kvstore.KeyValueStoreClient;
@@ -37,7 +41,18 @@
             new Settings.Quota(1, 300, 1_000),
             OperatorSettings.DEFAULTS);
 
+    private static final long WATCH_MS = 1_000;
+    private static final String LEADER_KEY = "/keys/leader";
+    private static final String RENEWAL = "/leases/7/touch";
+
     private final List<String> requestedPaths = new ArrayList<>();
+    /** Answers that differ from those of an empty store. */
+    private final Map<String, Http.Reply> replies = new HashMap<>();
+
+    private final List<String> changes = new ArrayList<>();
+    /** The last transaction that was sent. */
+    private String committed = "";
+
     private boolean unanswered;
     private final FakeEventLoop loop = new FakeEventLoop();
     private final LeaderElection election = new LeaderElection(
@@ -47,21 +62,34 @@
             SETTINGS,
             new LeaderElection.Listener() {
                 @Override
-                public void elected(long token, long keyVersion) {}
+                public void elected(long token, long keyVersion) {
+                    changes.add("elected " + token + " " + keyVersion);
+                }
 
                 @Override
-                public void leaderObserved(String leader) {}
+                public void leaderObserved(String leader) {
+                    changes.add("observed " + leader);
+                }
 
                 @Override
-                public void steppedDown(String reason) {}
+                public void steppedDown(String reason) {
+                    changes.add("stepped down");
+                }
             },
             new Counters(loop));
 
     private void serve(
             String target, String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> done) {
         requestedPaths.add(path);
+        if (path.equals("/commit")) {
+            committed = new String(body, StandardCharsets.UTF_8);
+        }
         if (unanswered) {
             loop.after(timeoutMs, () -> done.accept(Http.Reply.NONE));
+        } else if (replies.containsKey(path)) {
+            done.accept(replies.get(path));
+        } else if (path.startsWith("/follow")) {
+            loop.after(WATCH_MS, () -> done.accept(new Http.Reply(200, Json.bytes(Json.object()))));
         } else if (path.startsWith("/keys/")) {
             done.accept(new Http.Reply(404, new byte[0]));
         } else {
@@ -70,6 +98,14 @@
         }
     }
 
+    private static Http.Reply leaderKey(String node, long token) {
+        return new Http.Reply(
+                200,
+                Json.bytes(Json.object()
+                        .put("stamp", 3)
+                        .set("v", Json.object().put("node", node).put("token", token))));
+    }
+
     private long renewals() {
         return requestedPaths.stream().filter(path -> path.endsWith("/touch")).count();
     }
@@ -104,4 +140,71 @@
         loop.runTo(loop.now() + SETTINGS.keepAliveMs());
         assertFalse(election.mayKeepAlive());
     }
+
+    @Test
+    void aLeaderWhoseLeaseHasExpiredStepsDown() {
+        election.start();
+        loop.runTo(1_500);
+        assertEquals(List.of("elected 1 5"), changes);
+        replies.put(RENEWAL, new Http.Reply(404, new byte[0]));
+        replies.put(LEADER_KEY, leaderKey("other", 2));
+        loop.runTo(loop.now() + SETTINGS.renewMs());
+        assertFalse(election.isLeader());
+        assertFalse(election.mayKeepAlive());
+        assertNull(election.knownLeader());
+        loop.runTo(loop.now() + WATCH_MS);
+        assertEquals("other", election.knownLeader());
+        assertEquals(2, election.highestKnownToken());
+        assertEquals(1, election.fencingToken());
+        assertEquals(List.of("elected 1 5", "stepped down", "observed other"), changes.subList(0, 3));
+        long renewed = renewals();
+        loop.runTo(loop.now() + SETTINGS.leadershipMs());
+        assertEquals(renewed, renewals(), "a lease that is not kept any more is not renewed");
+    }
+
+    @Test
+    void aLeaderStepsDownOnlyForAHigherToken() {
+        election.start();
+        loop.runTo(1_500);
+        election.observeToken(1);
+        election.observeWorkerToken(election.workerFencingToken() + 5);
+        assertTrue(election.isLeader());
+        election.observeToken(2);
+        assertFalse(election.isLeader());
+    }
+
+    /** A key that names this node although it does not lead is replaced at its version, without a wait for its lease. */
+    @Test
+    void aNodeReplacesTheKeyOfItsOwnEarlierProcess() {
+        replies.put(LEADER_KEY, leaderKey("n", 1));
+        election.start();
+        loop.runTo(1_500);
+        assertTrue(election.hasValidLease());
+        assertTrue(committed.contains("{\"key\":\"leader\",\"stamp\":3}"), committed);
+    }
+
+    @Test
+    void aNodeThatBacksOffEndsItsLeaseAndLeavesTheNextCampaignsToOthers() {
+        election.start();
+        loop.runTo(1_500);
+        election.stepDownAndBackOff("test");
+        assertEquals("/leases/7", requestedPaths.get(requestedPaths.size() - 1));
+        long steppedDownAt = loop.now();
+        loop.runTo(steppedDownAt + Constants.Election.STEP_DOWN_BACKOFF_MS - 1);
+        assertFalse(election.isLeader());
+        loop.runTo(steppedDownAt + Constants.Election.STEP_DOWN_BACKOFF_MS + 1_000);
+        assertTrue(election.isLeader());
+    }
+
+    @Test
+    void aLostCampaignIsFollowedByAnotherLookAtTheKey() {
+        replies.put("/commit", new Http.Reply(409, Json.bytes(Json.object())));
+        election.start();
+        loop.runTo(1_500);
+        assertFalse(election.isLeader());
+        assertEquals(List.of(), changes);
+        replies.remove("/commit");
+        loop.runTo(2_500);
+        assertTrue(election.isLeader());
+    }
 }
--- /dev/null
+++ b/src/test/java/org/spoolline/kvstore/KeyValueStoreClientTest.java
@@ -0,0 +1,106 @@
+package org.spoolline.kvstore;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import org.spoolline.config.OperatorSettings;
+import org.spoolline.config.Settings;
+import org.spoolline.net.FakeEventLoop;
+import org.spoolline.net.Http;
+import org.spoolline.net.Json;
+
+/** A client's rate limits, and what it takes an answer to prove. */
+class KeyValueStoreClientTest {
+    private static final Settings.StoreLimits ANNOUNCED = new Settings.StoreLimits(100, 40, 2_048, 4, null);
+
+    private final FakeEventLoop loop = new FakeEventLoop();
+    private final List<String> paths = new ArrayList<>();
+    private final KeyValueStoreClient store = new KeyValueStoreClient(loop, this::serve, settings());
+    private Http.Reply reply = new Http.Reply(200, Json.bytes(Json.object()));
+
+    private static Settings settings() {
+        return new Settings(
+                "n",
+                "a",
+                "n:1",
+                "n:2",
+                List.of(),
+                "cloud:1",
+                "state:1",
+                3,
+                Map.of(),
+                List.of(),
+                new Settings.Workers(3_000, 16_000, 30_000, 5_000, 46_000),
+                new Settings.StoreLimits(100, 100, 8_192, 12, ANNOUNCED),
+                new Settings.Cloud(10, 6_000),
+                new Settings.Quota(1, 300, 1_000),
+                OperatorSettings.DEFAULTS);
+    }
+
+    private void serve(
+            String target, String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> done) {
+        paths.add(path);
+        done.accept(reply);
+    }
+
+    /** Requests with one write each that the rate limits allow at once. */
+    private int acquired() {
+        int count = 0;
+        while (store.tryAcquire(1)) {
+            count++;
+        }
+        return count;
+    }
+
+    @Test
+    void aLeaderHasALargerShareThanAFollower() {
+        loop.standStill(10_000);
+        assertEquals(30, acquired());
+        store.setLeader(true);
+        loop.standStill(10_000);
+        // A tenth of all requests is kept for the leader's own cycles.
+        assertEquals(60, acquired());
+    }
+
+    @Test
+    void aTransactionRejectedForItsSizePutsTheAnnouncedLimitsInForce() {
+        assertEquals(2_048, store.safeValueBytes());
+        assertEquals(8_192, store.limits().valueBytes());
+        reply = new Http.Reply(400, Json.error("too large"));
+        List<CommitOutcome> outcomes = new ArrayList<>();
+        store.commit(new Transaction(), result -> outcomes.add(result.outcome()));
+        assertEquals(List.of(CommitOutcome.TOO_LARGE), outcomes);
+        assertEquals(ANNOUNCED, store.limits());
+        assertEquals(16, store.maxConditions());
+        loop.standStill(10_000);
+        assertEquals(12, acquired());
+    }
+
+    @Test
+    void anExpiredLeaseLeavesTheLimitsAsTheyAre() {
+        reply = new Http.Reply(400, Json.error("no such lease"));
+        store.commit(new Transaction(), result -> assertEquals(CommitOutcome.LEASE_EXPIRED, result.outcome()));
+        assertEquals(8_192, store.limits().valueBytes());
+    }
+
+    @Test
+    void aRefusalDoesNotProveThatTheStoreIsReachable() {
+        assertFalse(store.reachable());
+        reply = new Http.Reply(503, new byte[0]);
+        store.probe();
+        assertFalse(store.reachable());
+        reply = new Http.Reply(404, new byte[0]);
+        store.probe();
+        assertTrue(store.reachable());
+        store.probe();
+        assertEquals(2, paths.size(), "nothing is sent while the last answer is recent");
+        loop.standStill(4_000);
+        assertFalse(store.reachable());
+    }
+}
