--- a/src/test/java/org/spoolline/simulation/CloudFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/CloudFaultsTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.spoolline.simulation.Workloads.busy;
-import static org.spoolline.simulation.Workloads.day;
+import static org.spoolline.simulation.Workloads.busyWorker;
+import static org.spoolline.simulation.Workloads.runScenario;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,31 +16,31 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void machinesBootLateOrNever(int seed) {
-        day(seed, 400, simulation -> {
-            simulation.cloud.bootS = 45;
-            simulation.cloud.neverUp = 3;
+        runScenario(seed, 400, simulation -> {
+            simulation.cloud.bootSeconds = 45;
+            simulation.cloud.bootsToFail = 3;
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void spotMachinesArePreemptedWithAndWithoutNotice(int seed) {
-        day(seed, 260, simulation -> {
-            busy(simulation).notice(8);
-            simulation.at(9_000, () -> simulation.cloud.take(busy(simulation).name));
+        runScenario(seed, 260, simulation -> {
+            busyWorker(simulation).preemptWithNotice(8);
+            simulation.at(9_000, () -> simulation.cloud.remove(busyWorker(simulation).name));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void cloudOutage(int seed) {
-        day(seed, 300, simulation -> simulation.cloud.outage(40));
+        runScenario(seed, 300, simulation -> simulation.cloud.outage(40));
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void cloudHasLittleCapacity(int seed) {
-        day(seed, 500, simulation -> simulation.cloud.capacity = 1);
+        runScenario(seed, 500, simulation -> simulation.cloud.capacity = 1);
     }
 
     /** An offer that was requested just before leadership lapsed must be requested again. */
@@ -49,22 +49,22 @@
         Simulation simulation = new Simulation(6);
         simulation.run(8);
         String leader = simulation.leader();
-        simulation.cut(leader, "cloud", Simulation.Cut.HOLD);
+        simulation.network.setLink(leader, Network.CLOUD, LinkState.DELAYED);
         submitForSmallMachinesInZoneA(simulation, 400);
         simulation.run(0.5);
         simulation.store.outage(12);
         simulation.run(6);
-        simulation.cut(leader, "cloud", Simulation.Cut.NONE);
+        simulation.network.setLink(leader, Network.CLOUD, LinkState.CONNECTED);
         simulation.run(30);
         assertEquals(leader, simulation.leader());
-        SimulatedUsers.Job second = submitForSmallMachinesInZoneA(simulation, 20);
+        SimulatedJob second = submitForSmallMachinesInZoneA(simulation, 20);
         simulation.run(90);
         assertEquals("done", second.status());
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
-    private static SimulatedUsers.Job submitForSmallMachinesInZoneA(Simulation simulation, double runS) {
-        SimulatedUsers.Job job = simulation
+    private static SimulatedJob submitForSmallMachinesInZoneA(Simulation simulation, double runS) {
+        SimulatedJob job = simulation
                 .users
                 .job("blue", "batch", 2, 8, runS)
                 .with("yard", "a")
@@ -78,8 +78,8 @@
         simulation.run(3);
         simulation.users.submit(simulation.users.job("blue", "batch", 10, 2, 5));
         simulation.run(60);
-        assertTrue(simulation.workers().values().stream().anyMatch(w -> !w.dead()));
+        assertTrue(simulation.workers().values().stream().anyMatch(w -> !w.isDown()));
         simulation.run(200);
-        assertTrue(simulation.workers().values().stream().allMatch(FakeWorker::dead));
+        assertTrue(simulation.workers().values().stream().allMatch(FakeWorker::isDown));
     }
 }
--- a/src/test/java/org/spoolline/simulation/ConcurrentFaults.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentFaults.java
@@ -10,14 +10,28 @@
 
     /** The workers whose machines are up. */
     static List<FakeWorker> liveWorkers(Simulation simulation) {
-        return simulation.workers().values().stream().filter(w -> !w.dead()).toList();
+        return simulation.workers().values().stream().filter(w -> !w.isDown()).toList();
     }
 
-    /** Sets the state of a host's links to every controller but the named one, both ways. */
-    static void partitionFromControllers(Simulation simulation, String host, String but, Simulation.Cut how) {
-        for (String node : NODES) {
-            if (!node.equals(host) && !node.equals(but)) {
-                simulation.cut(host, node, how);
+    /** The first controller that does not lead. */
+    static String firstFollower(Simulation simulation) {
+        String leader = Workloads.leader(simulation);
+        return NODES.stream()
+                .filter(controller -> !controller.equals(leader))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    /** Sets the state of a host's links to every other controller, both ways. */
+    static void setLinksToControllers(Simulation simulation, String host, LinkState state) {
+        setLinksToControllersExcept(simulation, host, host, state);
+    }
+
+    /** Sets the state of a host's links to every other controller but the named one, both ways. */
+    static void setLinksToControllersExcept(Simulation simulation, String host, String except, LinkState state) {
+        for (String controller : NODES) {
+            if (!controller.equals(host) && !controller.equals(except)) {
+                simulation.network.setLink(host, controller, state);
             }
         }
     }
@@ -25,18 +39,18 @@
     /** Users cancel every n-th job that is accepted and not in a terminal state; returns how many. */
     static int cancelEveryNth(Simulation simulation, int every) {
         int n = 0;
-        int called = 0;
-        for (SimulatedUsers.Job job : simulation.users.jobs()) {
+        int cancelled = 0;
+        for (SimulatedJob job : simulation.users.jobs()) {
             if (job.accepted() && !List.of("done", "aborted").contains(job.status()) && n++ % every == 0) {
                 simulation.users.cancel(job);
-                called++;
+                cancelled++;
             }
         }
-        return called;
+        return cancelled;
     }
 
     /** Submits an array whose tasks outlast leases and elections. */
-    static SimulatedUsers.Job submitLongJob(Simulation simulation, String team, int tasks, double cores) {
+    static SimulatedJob submitLongJob(Simulation simulation, String team, int tasks, double cores) {
         return simulation.users.submit(simulation.users.job(team, "batch", tasks, cores, 70));
     }
 }
--- a/src/test/java/org/spoolline/simulation/ConcurrentLeaderFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentLeaderFailuresTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.spoolline.simulation.ConcurrentFaults.cancelEveryNth;
 import static org.spoolline.simulation.ConcurrentFaults.liveWorkers;
-import static org.spoolline.simulation.ConcurrentFaults.partitionFromControllers;
+import static org.spoolline.simulation.ConcurrentFaults.setLinksToControllers;
 import static org.spoolline.simulation.ConcurrentFaults.submitLongJob;
 import static org.spoolline.simulation.Workloads.NODES;
-import static org.spoolline.simulation.Workloads.day;
-import static org.spoolline.simulation.Workloads.everyJobIsDone;
-import static org.spoolline.simulation.Workloads.jobOf;
+import static org.spoolline.simulation.Workloads.assertEveryJobDone;
 import static org.spoolline.simulation.Workloads.leader;
+import static org.spoolline.simulation.Workloads.mixedJob;
+import static org.spoolline.simulation.Workloads.runScenario;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -24,7 +24,7 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void tenLeaderChangesInTwoMinutesWithAnOutage(int seed) {
-        day(seed, 520, simulation -> {
+        runScenario(seed, 520, simulation -> {
             long before = simulation.store.value("token").path("n").asLong();
             for (int i = 0; i < 6; i++) {
                 submitLongJob(simulation, i % 2 == 0 ? "blue" : "red", 3, 2);
@@ -34,7 +34,8 @@
                 // over.
                 simulation.at(
                         i * 10_000L,
-                        () -> simulation.crashFor(leader(simulation), simulation.random.nextInt(80) / 10.0 + 0.1));
+                        () -> simulation.controllers.crashFor(
+                                leader(simulation), simulation.random.nextInt(80) / 10.0 + 0.1));
                 simulation.at(i * 10_000L + simulation.random.nextInt(6_000), () -> cancelEveryNth(simulation, 5));
             }
             simulation.at(50_000, () -> simulation.store.outage(15));
@@ -49,16 +50,16 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void slowStoreRejectsLeaderThenAllDuringCancellations(int seed) {
-        day(seed, 420, simulation -> {
+        runScenario(seed, 420, simulation -> {
             submitLongJob(simulation, "blue", 6, 2);
             submitLongJob(simulation, "red", 4, 2);
-            simulation.slow("state", true);
+            simulation.network.slowDown(Network.KEY_VALUE_STORE);
             String first = leader(simulation);
-            simulation.at(8_000, () -> simulation.store.refuse(first, 14));
+            simulation.at(8_000, () -> simulation.store.rejectHost(first, 14));
             simulation.at(8_500, () -> assertTrue(cancelEveryNth(simulation, 2) > 0));
             simulation.at(10_000, () -> simulation.store.outage(55));
             simulation.at(30_000, () -> cancelEveryNth(simulation, 2));
-            simulation.at(90_000, () -> simulation.slow("state", false));
+            simulation.at(90_000, () -> simulation.network.restoreSpeed(Network.KEY_VALUE_STORE));
         });
     }
 
@@ -68,30 +69,30 @@
     void quotaHoldsAcrossLeaderChangeWithUnreachableWorkers(int seed) {
         Simulation simulation = new Simulation(seed);
         simulation.run(3);
-        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        List<SimulatedJob> jobs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             jobs.add(submitLongJob(simulation, "red", 8, 2));
         }
         simulation.run(40);
         double red = liveWorkers(simulation).stream()
                         .flatMap(w -> w.tasks().stream())
-                        .filter(FakeWorker.Task::alive)
+                        .filter(SimulatedTask::isAlive)
                         .count()
                 * 2.0;
         assertEquals(32, red, "seed " + seed + ": expected the team at its quota of 32 cores");
-        simulation.crashFor(leader(simulation), 7);
+        simulation.controllers.crashFor(leader(simulation), 7);
         for (FakeWorker worker : liveWorkers(simulation).subList(0, 2)) {
-            partitionFromControllers(simulation, worker.name, "", Simulation.Cut.HOLD);
+            setLinksToControllers(simulation, worker.name, LinkState.DELAYED);
             simulation.at(
                     11_000 + simulation.random.nextInt(14_000),
-                    () -> partitionFromControllers(simulation, worker.name, "", Simulation.Cut.NONE));
+                    () -> setLinksToControllers(simulation, worker.name, LinkState.CONNECTED));
         }
         simulation.at(simulation.random.nextInt(12_000), () -> simulation.users.cancel(jobs.get(0)));
         simulation.at(simulation.random.nextInt(12_000), () -> simulation.users.cancel(jobs.get(1)));
-        simulation.at(60_000, simulation.invariants::troublesAreOver);
+        simulation.at(60_000, simulation.invariants::faultsEnded);
         simulation.run(520);
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        for (SimulatedUsers.Job job : jobs) {
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
+        for (SimulatedJob job : jobs) {
             assertTrue(List.of("done", "aborted").contains(job.status()), "seed " + seed + ": " + job.jobId());
         }
     }
@@ -101,25 +102,25 @@
     void isolatedLeaderKeepsWorkersWhileNewLeaderCancels(int seed) {
         Simulation simulation = new Simulation(seed);
         simulation.run(3);
-        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        List<SimulatedJob> jobs = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             jobs.add(submitLongJob(simulation, i % 2 == 0 ? "blue" : "red", 4, 2));
         }
         simulation.run(40);
         String old = leader(simulation);
-        partitionFromControllers(simulation, old, "", Simulation.Cut.LOSE);
-        simulation.cut(old, "state", Simulation.Cut.LOSE);
+        setLinksToControllers(simulation, old, LinkState.LOST);
+        simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.LOST);
         simulation.at(7_000, () -> {
             assertFalse(old.equals(simulation.leader()), "expected a new leader");
             jobs.subList(0, 3).forEach(simulation.users::cancel);
         });
         simulation.at(70_000, () -> {
-            partitionFromControllers(simulation, old, "", Simulation.Cut.NONE);
-            simulation.cut(old, "state", Simulation.Cut.NONE);
-            simulation.invariants.troublesAreOver();
+            setLinksToControllers(simulation, old, LinkState.CONNECTED);
+            simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.CONNECTED);
+            simulation.invariants.faultsEnded();
         });
         simulation.run(330);
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         for (int i = 0; i < jobs.size(); i++) {
             assertEquals(i < 3 ? "aborted" : "done", jobs.get(i).status(), "seed " + seed);
         }
@@ -128,7 +129,7 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderCrashesWhileWorkersAreUnreachable(int seed) {
-        day(seed, 420, simulation -> {
+        runScenario(seed, 420, simulation -> {
             submitLongJob(simulation, "blue", 8, 2);
             submitLongJob(simulation, "red", 6, 2);
             simulation.at(14_000, () -> {
@@ -137,16 +138,16 @@
                 for (int i = 0; i < workers.size(); i++) {
                     String worker = workers.get(i).name;
                     if (i % 3 == 0) {
-                        partitionFromControllers(simulation, worker, "", Simulation.Cut.HOLD);
-                        simulation.at(
-                                30_000, () -> partitionFromControllers(simulation, worker, "", Simulation.Cut.NONE));
+                        setLinksToControllers(simulation, worker, LinkState.DELAYED);
+                        simulation.at(30_000, () -> setLinksToControllers(simulation, worker, LinkState.CONNECTED));
                     } else if (i % 3 == 1) {
-                        NODES.forEach(n -> simulation.cutOneWay(n, worker, Simulation.Cut.LOSE));
+                        NODES.forEach(n -> simulation.network.setOneWay(n, worker, LinkState.LOST));
                         simulation.at(
-                                35_000, () -> NODES.forEach(n -> simulation.cutOneWay(n, worker, Simulation.Cut.NONE)));
+                                35_000,
+                                () -> NODES.forEach(n -> simulation.network.setOneWay(n, worker, LinkState.CONNECTED)));
                     }
                 }
-                simulation.crashFor(first, 6);
+                simulation.controllers.crashFor(first, 6);
                 simulation.at(4_000, () -> cancelEveryNth(simulation, 3));
             });
         });
@@ -158,39 +159,39 @@
     void completionsAreCountedOnceAcrossLeaderChanges(int seed) {
         Simulation simulation = new Simulation(seed);
         simulation.run(3);
-        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        List<SimulatedJob> jobs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             jobs.add(simulation.users.submit(simulation
                     .users
                     .job(i % 2 == 0 ? "blue" : "red", "batch", 2 + i % 2, 2, 8 + i)
-                    .endingApart(14_000)));
+                    .withRunTimeStepMs(14_000)));
         }
         for (int i = 0; i < 60 && !anyJobPartlyComplete(simulation, jobs); i++) {
             simulation.run(1);
         }
         assertTrue(anyJobPartlyComplete(simulation, jobs), "seed " + seed + ": expected a partly completed job");
-        simulation.store.answersToLose = 2;
-        simulation.crashFor(leader(simulation), 0.2);
-        simulation.at(9_000, () -> simulation.crashFor(leader(simulation), 6));
-        simulation.at(18_000, () -> simulation.crashFor(leader(simulation), 0.2));
+        simulation.store.commitResponsesToLose = 2;
+        simulation.controllers.crashFor(leader(simulation), 0.2);
+        simulation.at(9_000, () -> simulation.controllers.crashFor(leader(simulation), 6));
+        simulation.at(18_000, () -> simulation.controllers.crashFor(leader(simulation), 0.2));
         simulation.run(60);
-        simulation.invariants.troublesAreOver();
+        simulation.invariants.faultsEnded();
         simulation.run(160);
-        everyJobIsDone(simulation, seed);
+        assertEveryJobDone(simulation, seed);
     }
 
-    private static boolean anyJobPartlyComplete(Simulation simulation, List<SimulatedUsers.Job> jobs) {
+    private static boolean anyJobPartlyComplete(Simulation simulation, List<SimulatedJob> jobs) {
         return jobs.stream().anyMatch(j -> simulation.invariants.completedCount(j.jobId()) % j.tasks() != 0);
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void allControllersDownBeyondWorkerLeaseAfterCancellations(int seed) {
-        day(seed, 420, simulation -> {
+        runScenario(seed, 420, simulation -> {
             submitLongJob(simulation, "blue", 6, 2);
             submitLongJob(simulation, "red", 6, 2);
             simulation.at(9_000, () -> assertTrue(cancelEveryNth(simulation, 3) > 0));
-            simulation.at(9_300, () -> NODES.forEach(n -> simulation.crashFor(n, 25)));
+            simulation.at(9_300, () -> NODES.forEach(n -> simulation.controllers.crashFor(n, 25)));
         });
     }
 
@@ -199,18 +200,18 @@
     void commitsAreAppliedAfterNewerOnes() {
         int[] late = new int[2];
         for (int seed : Seeds.each()) {
-            day(seed, 460, simulation -> {
-                simulation.store.lateWrites(0.25, 80);
+            runScenario(seed, 460, simulation -> {
+                simulation.store.delayCommits(0.25, 80);
                 for (int i = 0; i < 8; i++) {
                     int n = i;
-                    simulation.at(i * 6_000L, () -> simulation.users.submit(jobOf(simulation, n)));
+                    simulation.at(i * 6_000L, () -> simulation.users.submit(mixedJob(simulation, n)));
                     simulation.at(i * 9_000L + 3_000, () -> cancelEveryNth(simulation, 4));
                 }
-                simulation.at(20_000, () -> simulation.crashFor(leader(simulation), 0.3));
-                simulation.at(45_000, () -> simulation.crashFor(leader(simulation), 6));
+                simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
+                simulation.at(45_000, () -> simulation.controllers.crashFor(leader(simulation), 6));
                 simulation.at(120_000, () -> {
-                    late[0] += simulation.store.late;
-                    late[1] += simulation.store.lateApplied;
+                    late[0] += simulation.store.delayedCommits();
+                    late[1] += simulation.store.delayedCommitsApplied();
                 });
             });
         }
@@ -222,22 +223,22 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void controllersStallInTurnThenAllCrash(int seed) {
-        day(seed, 420, simulation -> {
+        runScenario(seed, 420, simulation -> {
             submitLongJob(simulation, "blue", 6, 2);
             submitLongJob(simulation, "red", 4, 2);
             for (int i = 0; i < 4; i++) {
                 simulation.at(i * 9_000L, () -> {
                     String first = leader(simulation);
-                    simulation.freeze(first, 7);
+                    simulation.controllers.stall(first, 7);
                     simulation.at(6_000, () -> cancelEveryNth(simulation, 6));
                 });
             }
             simulation.at(40_000, () -> {
-                NODES.forEach(simulation::crash);
-                simulation.at(600, () -> simulation.startNode("node-1"));
-                simulation.at(8_000, () -> simulation.startNode("node-0"));
-                simulation.at(8_500, () -> simulation.crashFor("node-1", 0.2));
-                simulation.at(14_000, () -> simulation.startNode("node-2"));
+                NODES.forEach(simulation.controllers::crash);
+                simulation.at(600, () -> simulation.controllers.start("node-1"));
+                simulation.at(8_000, () -> simulation.controllers.start("node-0"));
+                simulation.at(8_500, () -> simulation.controllers.crashFor("node-1", 0.2));
+                simulation.at(14_000, () -> simulation.controllers.start("node-2"));
             });
         });
     }
--- a/src/test/java/org/spoolline/simulation/ConcurrentWorkerFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentWorkerFailuresTest.java
@@ -4,18 +4,21 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.spoolline.simulation.ConcurrentFaults.cancelEveryNth;
+import static org.spoolline.simulation.ConcurrentFaults.firstFollower;
 import static org.spoolline.simulation.ConcurrentFaults.liveWorkers;
-import static org.spoolline.simulation.ConcurrentFaults.partitionFromControllers;
+import static org.spoolline.simulation.ConcurrentFaults.setLinksToControllers;
+import static org.spoolline.simulation.ConcurrentFaults.setLinksToControllersExcept;
 import static org.spoolline.simulation.ConcurrentFaults.submitLongJob;
 import static org.spoolline.simulation.Workloads.NODES;
-import static org.spoolline.simulation.Workloads.busy;
-import static org.spoolline.simulation.Workloads.day;
-import static org.spoolline.simulation.Workloads.everyJobIsDone;
-import static org.spoolline.simulation.Workloads.jobOf;
+import static org.spoolline.simulation.Workloads.assertEveryJobDone;
+import static org.spoolline.simulation.Workloads.busyWorker;
 import static org.spoolline.simulation.Workloads.leader;
+import static org.spoolline.simulation.Workloads.mixedJob;
+import static org.spoolline.simulation.Workloads.runScenario;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -40,39 +43,39 @@
         int[] lost = new int[1];
         for (int i = 0; i < 4; i++) {
             simulation.at(i * 11_000L, () -> {
-                FakeWorker worker = busy(simulation);
-                lost[0] += worker.dead() ? 0 : 1;
+                FakeWorker worker = busyWorker(simulation);
+                lost[0] += worker.isDown() ? 0 : 1;
                 if (simulation.random.nextBoolean()) {
-                    worker.die();
+                    worker.losePower();
                 } else {
-                    partitionFromControllers(simulation, worker.name, "", Simulation.Cut.LOSE);
-                    simulation.at(
-                            25_000, () -> partitionFromControllers(simulation, worker.name, "", Simulation.Cut.NONE));
+                    setLinksToControllers(simulation, worker.name, LinkState.LOST);
+                    simulation.at(25_000, () -> setLinksToControllers(simulation, worker.name, LinkState.CONNECTED));
                 }
             });
         }
-        simulation.at(12_000, () -> simulation.crashFor(leader(simulation), 5));
+        simulation.at(12_000, () -> simulation.controllers.crashFor(leader(simulation), 5));
         simulation.run(80);
         assertTrue(lost[0] > 0, "expected a machine to be lost");
-        simulation.invariants.troublesAreOver();
+        simulation.invariants.faultsEnded();
         simulation.run(300);
-        everyJobIsDone(simulation, seed);
+        assertEveryJobDone(simulation, seed);
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void heartbeatResponsesAreDelayedWhileWorkersRun(int seed) {
-        day(seed, 360, simulation -> {
+        runScenario(seed, 360, simulation -> {
             submitLongJob(simulation, "blue", 6, 2);
             for (int i = 0; i < 8; i++) {
                 simulation.at(i * 7_000L, () -> {
-                    FakeWorker worker = busy(simulation);
-                    NODES.forEach(n -> simulation.cutOneWay(n, worker.name, Simulation.Cut.HOLD));
+                    FakeWorker worker = busyWorker(simulation);
+                    NODES.forEach(n -> simulation.network.setOneWay(n, worker.name, LinkState.DELAYED));
                     long seconds = 2 + simulation.random.nextInt(6);
                     simulation.at(
                             seconds * 1_000,
-                            () -> NODES.forEach(n -> simulation.cutOneWay(n, worker.name, Simulation.Cut.NONE)));
-                    busy(simulation).hang(seconds);
+                            () -> NODES.forEach(
+                                    n -> simulation.network.setOneWay(n, worker.name, LinkState.CONNECTED)));
+                    busyWorker(simulation).hang(seconds);
                     simulation.at(1_000, () -> cancelEveryNth(simulation, 6));
                 });
             }
@@ -82,48 +85,45 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void overloadWithMixedUrgencyOverSlowLinks(int seed) {
-        day(seed, 700, simulation -> {
+        runScenario(seed, 700, simulation -> {
             simulation.cloud.capacity = 2;
-            NODES.forEach(n -> simulation.slow(n, true));
-            simulation.slow("state", true);
+            NODES.forEach(n -> simulation.network.slowDown(n));
+            simulation.network.slowDown(Network.KEY_VALUE_STORE);
             for (int i = 0; i < 16; i++) {
-                simulation.users.submit(jobOf(simulation, i)
+                simulation.users.submit(mixedJob(simulation, i)
                         .with("urgency", i % 3 == 0 ? "urgent" : i % 3 == 1 ? "standard" : "best_effort"));
             }
             simulation.at(20_000, () -> cancelEveryNth(simulation, 4));
-            simulation.at(60_000, () -> simulation.crashFor(leader(simulation), 5));
+            simulation.at(60_000, () -> simulation.controllers.crashFor(leader(simulation), 5));
             simulation.at(200_000, () -> {
-                NODES.forEach(n -> simulation.slow(n, false));
-                simulation.slow("state", false);
+                NODES.forEach(n -> simulation.network.restoreSpeed(n));
+                simulation.network.restoreSpeed(Network.KEY_VALUE_STORE);
             });
         });
     }
 
     /** Workers in the partitioned zone stay with its controller for as long as that may answer them. */
-    private static void zoneWithControllerIsPartitionedBeyondLease(int seed, boolean leaderInside) {
-        day(seed, 480, simulation -> {
+    private static void partitionZoneWithController(int seed, Function<Simulation, String> controllerInZone) {
+        runScenario(seed, 480, simulation -> {
             submitLongJob(simulation, "blue", 8, 2);
             submitLongJob(simulation, "red", 4, 2);
             simulation.at(14_000, () -> {
-                String inside = leaderInside
-                        ? leader(simulation)
-                        : NODES.stream()
-                                .filter(n -> !n.equals(leader(simulation)))
-                                .findFirst()
-                                .orElseThrow();
+                String inside = controllerInZone.apply(simulation);
                 List<FakeWorker> zone = liveWorkers(simulation).stream()
                         .filter(w -> w.zone.equals("a"))
                         .toList();
-                partitionFromControllers(simulation, inside, "", Simulation.Cut.HOLD);
-                for (String other : List.of("state", "cloud", "users")) {
-                    simulation.cut(inside, other, Simulation.Cut.HOLD);
+                setLinksToControllers(simulation, inside, LinkState.DELAYED);
+                for (String other : List.of(Network.KEY_VALUE_STORE, Network.CLOUD, Network.USERS)) {
+                    simulation.network.setLink(inside, other, LinkState.DELAYED);
                 }
-                zone.forEach(w -> partitionFromControllers(simulation, w.name, inside, Simulation.Cut.HOLD));
+                zone.forEach(w -> setLinksToControllersExcept(simulation, w.name, inside, LinkState.DELAYED));
                 simulation.at(6_000, () -> cancelEveryNth(simulation, 3));
                 simulation.at(40_000, () -> {
-                    partitionFromControllers(simulation, inside, "", Simulation.Cut.NONE);
-                    List.of("state", "cloud", "users").forEach(o -> simulation.cut(inside, o, Simulation.Cut.NONE));
-                    zone.forEach(w -> partitionFromControllers(simulation, w.name, inside, Simulation.Cut.NONE));
+                    setLinksToControllers(simulation, inside, LinkState.CONNECTED);
+                    for (String other : List.of(Network.KEY_VALUE_STORE, Network.CLOUD, Network.USERS)) {
+                        simulation.network.setLink(inside, other, LinkState.CONNECTED);
+                    }
+                    zone.forEach(w -> setLinksToControllersExcept(simulation, w.name, inside, LinkState.CONNECTED));
                 });
             });
         });
@@ -132,27 +132,27 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void zoneWithLeaderIsPartitionedBeyondLease(int seed) {
-        zoneWithControllerIsPartitionedBeyondLease(seed, true);
+        partitionZoneWithController(seed, Workloads::leader);
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void zoneWithFollowerIsPartitionedBeyondLease(int seed) {
-        zoneWithControllerIsPartitionedBeyondLease(seed, false);
+        partitionZoneWithController(seed, ConcurrentFaults::firstFollower);
     }
 
     /** Without an uplink a worker renews nothing: its tasks end with its lease and must not start elsewhere before. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workersWithoutUplinkStillTakeCommands(int seed) {
-        day(seed, 420, simulation -> {
+        runScenario(seed, 420, simulation -> {
             submitLongJob(simulation, "blue", 8, 2);
             simulation.at(14_000, () -> {
                 List<FakeWorker> some = liveWorkers(simulation)
                         .subList(0, Math.max(1, liveWorkers(simulation).size() / 2));
-                some.forEach(w -> simulation.mute(w.name, 30));
+                some.forEach(w -> simulation.network.blockOutbound(w.name, 30));
                 simulation.at(1_000, () -> cancelEveryNth(simulation, 2));
-                simulation.at(9_000, () -> simulation.crashFor(leader(simulation), 5));
+                simulation.at(9_000, () -> simulation.controllers.crashFor(leader(simulation), 5));
             });
         });
     }
@@ -160,24 +160,21 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void delayedHeartbeatsReachNewLeader(int seed) {
-        day(seed, 420, simulation -> {
+        runScenario(seed, 420, simulation -> {
             submitLongJob(simulation, "blue", 8, 2);
             submitLongJob(simulation, "red", 4, 2);
             simulation.at(14_000, () -> {
-                String next = NODES.stream()
-                        .filter(n -> !n.equals(leader(simulation)))
-                        .findFirst()
-                        .orElseThrow();
+                String next = firstFollower(simulation);
                 // Heartbeats sent there now arrive once it leads, along with duplicates of later ones.
-                simulation.cutOneWay(Simulation.WORKERS, next, Simulation.Cut.HOLD);
-                simulation.copyReports(40_000);
-                simulation.crashFor(leader(simulation), 9);
-                simulation.at(3_000, () -> busy(simulation).hang(20));
+                simulation.network.setOneWay(Network.WORKERS, next, LinkState.DELAYED);
+                simulation.network.duplicateHeartbeats(40_000);
+                simulation.controllers.crashFor(leader(simulation), 9);
+                simulation.at(3_000, () -> busyWorker(simulation).hang(20));
                 simulation.at(
                         12_000 + simulation.random.nextInt(12_000),
-                        () -> simulation.cutOneWay(Simulation.WORKERS, next, Simulation.Cut.NONE));
+                        () -> simulation.network.setOneWay(Network.WORKERS, next, LinkState.CONNECTED));
                 simulation.at(7_000, () -> cancelEveryNth(simulation, 3));
-                simulation.at(45_000, () -> simulation.copyReports(0));
+                simulation.at(45_000, () -> simulation.network.duplicateHeartbeats(0));
             });
         });
     }
@@ -185,20 +182,20 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void staleHeartbeatsOfEarlierIncarnationsArriveLate(int seed) {
-        day(seed, 480, simulation -> {
-            simulation.copyReports(50_000);
+        runScenario(seed, 480, simulation -> {
+            simulation.network.duplicateHeartbeats(50_000);
             submitLongJob(simulation, "blue", 6, 2);
             submitLongJob(simulation, "red", 4, 2);
             for (int i = 0; i < 5; i++) {
                 simulation.at(8_000 + i * 13_000L, () -> {
-                    busy(simulation).hang(18);
-                    busy(simulation).dieAndBeBack(0.4);
+                    busyWorker(simulation).hang(18);
+                    busyWorker(simulation).restartAfter(0.4);
                     cancelEveryNth(simulation, 7);
                 });
             }
-            simulation.at(30_000, () -> simulation.crashFor(leader(simulation), 0.3));
-            simulation.at(52_000, () -> simulation.crashFor(leader(simulation), 6));
-            simulation.at(100_000, () -> simulation.copyReports(0));
+            simulation.at(30_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
+            simulation.at(52_000, () -> simulation.controllers.crashFor(leader(simulation), 6));
+            simulation.at(100_000, () -> simulation.network.duplicateHeartbeats(0));
         });
     }
 
@@ -206,13 +203,13 @@
     void cancellationPollAndResubmissionMeetCompletion() {
         int[] met = new int[1];
         for (int seed : Seeds.each()) {
-            day(seed, 260, simulation -> {
-                simulation.users.cancelAtEnd(0.8, 100);
+            runScenario(seed, 260, simulation -> {
+                simulation.users.cancelAtCompletion(0.8, 100);
                 for (int i = 0; i < 10; i++) {
                     int n = i;
-                    simulation.at(i * 3_000L, () -> simulation.users.submit(jobOf(simulation, n)));
+                    simulation.at(i * 3_000L, () -> simulation.users.submit(mixedJob(simulation, n)));
                 }
-                simulation.at(100_000, () -> met[0] += simulation.users.calledOffAtEnd);
+                simulation.at(100_000, () -> met[0] += simulation.users.cancelledAtCompletion());
             });
         }
         assertTrue(met[0] > 10, "expected more than 10 cancellations at completion, got " + met[0]);
@@ -224,7 +221,7 @@
     void jobsAreCancelledTogetherWhileWorkersHang(int seed) {
         Simulation simulation = new Simulation(seed);
         simulation.run(3);
-        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        List<SimulatedJob> jobs = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             jobs.add(simulation.users.submit(simulation.users.job(i % 2 == 0 ? "blue" : "red", "batch", 3, 1, 300)));
         }
@@ -237,9 +234,9 @@
         assertFalse(hung.isEmpty());
         int hangS = 4 + simulation.random.nextInt(30);
         simulation.at(simulation.random.nextInt(400), () -> hung.forEach(w -> w.hang(hangS)));
-        simulation.at(1_000, () -> simulation.crashFor(leader(simulation), 0.3));
+        simulation.at(1_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
         simulation.run(120);
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         jobs.forEach(j -> assertEquals("aborted", j.status()));
     }
 }
--- a/src/test/java/org/spoolline/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/ControllerFaultsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.spoolline.simulation.Workloads.NODES;
-import static org.spoolline.simulation.Workloads.day;
 import static org.spoolline.simulation.Workloads.leader;
+import static org.spoolline.simulation.Workloads.runScenario;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -15,33 +15,33 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderCrashesAndAnotherTakesOver(int seed) {
-        day(seed, 260, simulation -> simulation.crashFor(leader(simulation), 6));
+        runScenario(seed, 260, simulation -> simulation.controllers.crashFor(leader(simulation), 6));
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderCrashesAgainRightAfterRestart(int seed) {
-        day(seed, 260, simulation -> {
+        runScenario(seed, 260, simulation -> {
             String leader = leader(simulation);
-            simulation.crashFor(leader, 0.2);
-            simulation.at(500, () -> simulation.crashFor(leader, 0.2));
-            simulation.at(5_200, () -> simulation.crashFor(leader(simulation), 0.3));
+            simulation.controllers.crashFor(leader, 0.2);
+            simulation.at(500, () -> simulation.controllers.crashFor(leader, 0.2));
+            simulation.at(5_200, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void allControllersCrashTogether(int seed) {
-        day(seed, 260, simulation -> NODES.forEach(n -> simulation.crashFor(n, 5)));
+        runScenario(seed, 260, simulation -> NODES.forEach(n -> simulation.controllers.crashFor(n, 5)));
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void controllersRestartInTurn(int seed) {
-        day(seed, 300, simulation -> {
+        runScenario(seed, 300, simulation -> {
             for (int i = 0; i < 3; i++) {
                 String node = "node-" + i;
-                simulation.at(i * 15_000L, () -> simulation.crashFor(node, 5));
+                simulation.at(i * 15_000L, () -> simulation.controllers.crashFor(node, 5));
             }
         });
     }
@@ -49,15 +49,15 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void controllersRestartWithinAFractionOfASecondDuringElection(int seed) {
-        day(seed, 300, simulation -> {
+        runScenario(seed, 300, simulation -> {
             String first = leader(simulation);
-            simulation.crash(first);
+            simulation.controllers.crash(first);
             for (int i = 0; i < 12; i++) {
                 // Around lease expiry, when the others campaign.
                 String node = "node-" + i % 3;
-                simulation.at(4_000 + i * 170L, () -> simulation.crashFor(node, 0.1));
+                simulation.at(4_000 + i * 170L, () -> simulation.controllers.crashFor(node, 0.1));
             }
-            simulation.at(9_000, () -> simulation.startNode(first));
+            simulation.at(9_000, () -> simulation.controllers.start(first));
         });
     }
 
@@ -65,15 +65,15 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderStallsForLongerThanItsLease(int seed) {
-        day(seed, 400, simulation -> {
+        runScenario(seed, 400, simulation -> {
             String first = leader(simulation);
-            simulation.freeze(first, 24);
-            simulation.at(60_000, () -> simulation.freeze(leader(simulation), 3));
+            simulation.controllers.stall(first, 24);
+            simulation.at(60_000, () -> simulation.controllers.stall(leader(simulation), 3));
             simulation.at(80_000, () -> {
-                simulation.freeze(leader(simulation), 26);
-                simulation.copyReports(20_000);
+                simulation.controllers.stall(leader(simulation), 26);
+                simulation.network.duplicateHeartbeats(20_000);
             });
-            simulation.at(130_000, () -> simulation.copyReports(0));
+            simulation.at(130_000, () -> simulation.network.duplicateHeartbeats(0));
         });
     }
 
@@ -84,7 +84,7 @@
         simulation.run(12);
         String leader = simulation.leader();
         long token = simulation.store.value("token").path("n").asLong();
-        simulation.crashFor(leader, 0.2);
+        simulation.controllers.crashFor(leader, 0.2);
         simulation.run(2);
         assertEquals(leader, simulation.leader());
         assertTrue(simulation.store.value("token").path("n").asLong() > token);
@@ -97,12 +97,13 @@
         simulation.run(3);
         simulation.users.submit(simulation.users.job("blue", "batch", 4, 8, 5));
         simulation.run(49);
-        long up = simulation.workers().values().stream().filter(w -> !w.dead()).count();
+        long up =
+                simulation.workers().values().stream().filter(w -> !w.isDown()).count();
         assertTrue(up > 0);
-        simulation.crashFor(leader(simulation), 5);
+        simulation.controllers.crashFor(leader(simulation), 5);
         simulation.run(8);
         assertEquals(
                 up,
-                simulation.workers().values().stream().filter(w -> !w.dead()).count());
+                simulation.workers().values().stream().filter(w -> !w.isDown()).count());
     }
 }
--- a/src/test/java/org/spoolline/simulation/DependencyChain.java
+++ b/src/test/java/org/spoolline/simulation/DependencyChain.java
@@ -10,31 +10,31 @@
 /** Four stages of dependent jobs, the second of two jobs: each job is submitted once its dependencies are accepted. */
 final class DependencyChain {
     final Simulation simulation;
-    final SimulatedUsers.Job check;
-    final List<SimulatedUsers.Job> resize = new ArrayList<>();
-    final SimulatedUsers.Job merge;
-    final SimulatedUsers.Job deliver;
-    final List<SimulatedUsers.Job> all = new ArrayList<>();
+    final SimulatedJob check;
+    final List<SimulatedJob> resize = new ArrayList<>();
+    final SimulatedJob merge;
+    final SimulatedJob deliver;
+    final List<SimulatedJob> jobs = new ArrayList<>();
 
     DependencyChain(Simulation simulation) {
         this.simulation = simulation;
         check = simulation.users.job("blue", "batch", 3, 1, 8);
-        resize.add(simulation.users.job("blue", "batch", 6, 2, 10).after(check));
-        resize.add(simulation.users.job("red", "batch", 2, 2, 12).after(check));
+        resize.add(simulation.users.job("blue", "batch", 6, 2, 10).dependingOn(check));
+        resize.add(simulation.users.job("red", "batch", 2, 2, 12).dependingOn(check));
         merge = simulation
                 .users
                 .job("blue", "group", 2, 2, 8)
                 .with("samePlace", true)
-                .after(resize.get(0), resize.get(1));
+                .dependingOn(resize.get(0), resize.get(1));
         deliver = simulation
                 .users
                 .job("blue", "batch", 2, 1, 4)
                 .with("urgency", "urgent")
-                .after(merge);
-        all.add(check);
-        all.addAll(resize);
-        all.add(merge);
-        all.add(deliver);
+                .dependingOn(merge);
+        jobs.add(check);
+        jobs.addAll(resize);
+        jobs.add(merge);
+        jobs.add(deliver);
     }
 
     /** Submits all jobs in order, each as soon as the one before it is accepted. */
@@ -44,14 +44,14 @@
     }
 
     private void submitFrom(int index) {
-        if (index == all.size()) {
+        if (index == jobs.size()) {
             return;
         }
-        simulation.users.submit(all.get(index));
-        whenAccepted(all.get(index), () -> submitFrom(index + 1));
+        simulation.users.submit(jobs.get(index));
+        whenAccepted(jobs.get(index), () -> submitFrom(index + 1));
     }
 
-    private void whenAccepted(SimulatedUsers.Job job, Runnable then) {
+    private void whenAccepted(SimulatedJob job, Runnable then) {
         if (job.accepted()) {
             then.run();
         } else {
@@ -59,21 +59,24 @@
         }
     }
 
-    /** Three chains, a fault while the second is under way, and time to recover: every job ends and no invariant is violated. */
-    static void runThreeChains(int seed, double seconds, Consumer<List<DependencyChain>> trouble) {
+    /**
+     * Three chains, a fault while the second is under way, and time to recover: every job ends and no invariant is
+     * violated.
+     */
+    static void runThreeChains(int seed, double seconds, Consumer<List<DependencyChain>> fault) {
         Simulation simulation = new Simulation(seed);
-        List<DependencyChain> lines = new ArrayList<>();
+        List<DependencyChain> chains = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            simulation.at(5_000 + i * 6_000L, () -> lines.add(new DependencyChain(simulation).submit()));
+            simulation.at(5_000 + i * 6_000L, () -> chains.add(new DependencyChain(simulation).submit()));
         }
         simulation.run(40);
-        trouble.accept(lines);
-        simulation.at((long) (1_000 * (seconds - Workloads.CALM_S)), simulation.invariants::troublesAreOver);
+        fault.accept(chains);
+        simulation.at((long) (1_000 * (seconds - Workloads.RECOVERY_S)), simulation.invariants::faultsEnded);
         simulation.run(seconds);
-        simulation.invariants.dayIsOver();
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        for (DependencyChain line : lines) {
-            for (SimulatedUsers.Job job : line.all) {
+        simulation.invariants.checkAtEnd();
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
+        for (DependencyChain chain : chains) {
+            for (SimulatedJob job : chain.jobs) {
                 assertTrue(
                         List.of("done", "aborted").contains(job.status()),
                         "seed " + seed + ": " + job.jobId() + " is " + job.status());
@@ -82,9 +85,9 @@
     }
 
     /** A minute from now every accepted job of the chain is done or cancelled. */
-    static void expectAllCancelled(DependencyChain line) {
-        for (SimulatedUsers.Job job : line.all) {
-            line.simulation.at(60_000, () -> {
+    static void expectAllCancelled(DependencyChain chain) {
+        for (SimulatedJob job : chain.jobs) {
+            chain.simulation.at(60_000, () -> {
                 if (job.accepted() && !job.status().equals("done")) {
                     assertEquals("aborted", job.status(), job.jobId());
                 }
--- a/src/test/java/org/spoolline/simulation/DependentJobFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/DependentJobFailuresTest.java
@@ -15,30 +15,30 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void cancelledRootCancelsAllDependents(int seed) {
-        runThreeChains(seed, 320, lines -> {
-            lines.get(1).simulation.users.cancel(lines.get(1).check);
-            expectAllCancelled(lines.get(1));
+        runThreeChains(seed, 320, chains -> {
+            chains.get(1).simulation.users.cancel(chains.get(1).check);
+            expectAllCancelled(chains.get(1));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void cancelledMiddleStageCancelsLaterStages(int seed) {
-        runThreeChains(seed, 320, lines -> {
-            lines.get(2).simulation.users.cancel(lines.get(2).resize.get(1));
-            expectAllCancelled(lines.get(2));
+        runThreeChains(seed, 320, chains -> {
+            chains.get(2).simulation.users.cancel(chains.get(2).resize.get(1));
+            expectAllCancelled(chains.get(2));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void cancelledDependentLeavesDependenciesRunning(int seed) {
-        runThreeChains(seed, 320, lines -> {
-            DependencyChain line = lines.get(2);
-            line.simulation.users.cancel(line.merge);
-            line.simulation.at(150_000, () -> {
-                assertEquals("done", line.check.status());
-                assertEquals("aborted", line.deliver.status());
+        runThreeChains(seed, 320, chains -> {
+            DependencyChain chain = chains.get(2);
+            chain.simulation.users.cancel(chain.merge);
+            chain.simulation.at(150_000, () -> {
+                assertEquals("done", chain.check.status());
+                assertEquals("aborted", chain.deliver.status());
             });
         });
     }
@@ -46,16 +46,16 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void cancellationsMeetCompletionOfDependencies(int seed) {
-        runThreeChains(seed, 320, lines -> lines.get(0).simulation.users.cancelAtEnd(0.5, 60));
+        runThreeChains(seed, 320, chains -> chains.get(0).simulation.users.cancelAtCompletion(0.5, 60));
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderCrashesWhileStagesComplete(int seed) {
-        runThreeChains(seed, 420, lines -> {
-            Simulation simulation = lines.get(0).simulation;
+        runThreeChains(seed, 420, chains -> {
+            Simulation simulation = chains.get(0).simulation;
             for (int i = 0; i < 6; i++) {
-                simulation.at(i * 9_000L, () -> simulation.crashFor(leader(simulation), 4));
+                simulation.at(i * 9_000L, () -> simulation.controllers.crashFor(leader(simulation), 4));
             }
         });
     }
@@ -63,13 +63,13 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void rootIsCancelledDuringElection(int seed) {
-        runThreeChains(seed, 420, lines -> {
-            Simulation simulation = lines.get(0).simulation;
-            simulation.crashFor(leader(simulation), 8);
-            simulation.at(300, () -> simulation.users.cancel(lines.get(1).check));
+        runThreeChains(seed, 420, chains -> {
+            Simulation simulation = chains.get(0).simulation;
+            simulation.controllers.crashFor(leader(simulation), 8);
+            simulation.at(300, () -> simulation.users.cancel(chains.get(1).check));
             simulation.at(
-                    2_000, () -> simulation.users.cancel(lines.get(2).resize.get(0)));
-            expectAllCancelled(lines.get(2));
+                    2_000, () -> simulation.users.cancel(chains.get(2).resize.get(0)));
+            expectAllCancelled(chains.get(2));
         });
     }
 
@@ -77,10 +77,10 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void rootIsCancelledBeforeOutageBeyondCancelBound(int seed) {
-        runThreeChains(seed, 500, lines -> {
-            Simulation simulation = lines.get(0).simulation;
-            simulation.users.cancel(lines.get(1).check);
-            simulation.users.cancel(lines.get(2).resize.get(0));
+        runThreeChains(seed, 500, chains -> {
+            Simulation simulation = chains.get(0).simulation;
+            simulation.users.cancel(chains.get(1).check);
+            simulation.users.cancel(chains.get(2).resize.get(0));
             simulation.at(60, () -> simulation.store.outage(80));
         });
     }
@@ -88,11 +88,11 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void cancellationIsConfirmedWhileStoreRejectsLeaderThenAll(int seed) {
-        runThreeChains(seed, 500, lines -> {
-            Simulation simulation = lines.get(0).simulation;
-            simulation.store.refuse(leader(simulation), 14);
-            simulation.at(300, () -> simulation.users.cancel(lines.get(1).check));
-            simulation.at(500, () -> simulation.users.cancel(lines.get(2).merge));
+        runThreeChains(seed, 500, chains -> {
+            Simulation simulation = chains.get(0).simulation;
+            simulation.store.rejectHost(leader(simulation), 14);
+            simulation.at(300, () -> simulation.users.cancel(chains.get(1).check));
+            simulation.at(500, () -> simulation.users.cancel(chains.get(2).merge));
             simulation.at(2_000, () -> simulation.store.outage(70));
         });
     }
@@ -100,40 +100,44 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderIsPartitionedFromStoreWhileStagesComplete(int seed) {
-        runThreeChains(seed, 420, lines -> {
-            Simulation simulation = lines.get(0).simulation;
+        runThreeChains(seed, 420, chains -> {
+            Simulation simulation = chains.get(0).simulation;
             String leader = leader(simulation);
-            simulation.cut(leader, "state", Simulation.Cut.HOLD);
+            simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.DELAYED);
             simulation.at(
-                    1_000, () -> simulation.users.cancel(lines.get(2).resize.get(0)));
-            simulation.at(30_000, () -> simulation.cut(leader, "state", Simulation.Cut.NONE));
+                    1_000, () -> simulation.users.cancel(chains.get(2).resize.get(0)));
+            simulation.at(
+                    30_000, () -> simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.CONNECTED));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void commitResponsesAreLostWhileStagesComplete(int seed) {
-        runThreeChains(seed, 420, lines -> {
-            Simulation simulation = lines.get(0).simulation;
-            simulation.store.lateWrites(0.25, 60);
-            simulation.at(10_000, () -> simulation.store.answersToLose = 5);
-            simulation.at(5_000, () -> simulation.users.cancel(lines.get(1).merge));
-            simulation.at(20_000, () -> simulation.crashFor(leader(simulation), 3));
+        runThreeChains(seed, 420, chains -> {
+            Simulation simulation = chains.get(0).simulation;
+            simulation.store.delayCommits(0.25, 60);
+            simulation.at(10_000, () -> simulation.store.commitResponsesToLose = 5);
+            simulation.at(5_000, () -> simulation.users.cancel(chains.get(1).merge));
+            simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 3));
         });
     }
 
-    /** A leader that can't list the jobs writes nothing: every controller still reports dependents of a cancelled job as cancelled. */
+    /**
+     * A leader that can't list the jobs writes nothing: every controller still reports dependents of a cancelled job as
+     * cancelled.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void dependentsAreCancelledWhileNoLeaderCanListJobs(int seed) {
-        runThreeChains(seed, 500, lines -> {
-            Simulation simulation = lines.get(0).simulation;
-            simulation.store.refuseListings(90);
-            NODES.forEach(node -> simulation.crashFor(node, 0.3));
-            simulation.at(8_000, () -> simulation.users.cancel(lines.get(1).check));
+        runThreeChains(seed, 500, chains -> {
+            Simulation simulation = chains.get(0).simulation;
+            simulation.store.dropListings(90);
+            NODES.forEach(node -> simulation.controllers.crashFor(node, 0.3));
+            simulation.at(8_000, () -> simulation.users.cancel(chains.get(1).check));
             simulation.at(
-                    8_500, () -> simulation.users.cancel(lines.get(2).resize.get(0)));
-            for (SimulatedUsers.Job job : List.of(lines.get(2).merge, lines.get(2).deliver)) {
+                    8_500, () -> simulation.users.cancel(chains.get(2).resize.get(0)));
+            for (SimulatedJob job : List.of(chains.get(2).merge, chains.get(2).deliver)) {
                 simulation.at(70_000, () -> assertEquals("aborted", job.status(), job.jobId()));
             }
         });
--- a/src/test/java/org/spoolline/simulation/DependentJobsTest.java
+++ b/src/test/java/org/spoolline/simulation/DependentJobsTest.java
@@ -19,128 +19,130 @@
     void stagesCompleteInOrder(int seed) {
         Simulation simulation = new Simulation(seed);
         simulation.run(5);
-        DependencyChain line = new DependencyChain(simulation).submit();
+        DependencyChain chain = new DependencyChain(simulation).submit();
         simulation.run(20);
-        assertEquals("pending", line.deliver.status());
+        assertEquals("pending", chain.deliver.status());
         simulation.run(200);
-        Workloads.everyJobIsDone(simulation, seed);
+        Workloads.assertEveryJobDone(simulation, seed);
     }
 
     @Test
     void cancelledRootCancelsWideFanOut() {
         Simulation simulation = new Simulation(5, 1, 400);
         simulation.run(3);
-        SimulatedUsers.Job root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 200));
+        SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 200));
         simulation.run(2);
-        List<SimulatedUsers.Job> fan = new ArrayList<>();
+        List<SimulatedJob> fan = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
             fan.add(simulation.users.submit(
-                    simulation.users.job("blue", "batch", 1, 1, 5).after(i % 3 == 2 ? fan.get(i - 1) : root)));
+                    simulation.users.job("blue", "batch", 1, 1, 5).dependingOn(i % 3 == 2 ? fan.get(i - 1) : root)));
             simulation.run(0.2);
         }
         simulation.run(20);
         simulation.users.cancel(root);
         simulation.run(46);
-        for (SimulatedUsers.Job job : fan) {
+        for (SimulatedJob job : fan) {
             assertTrue(job.accepted(), job.jobId());
             assertEquals("aborted", job.status(), job.jobId());
         }
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     @Test
     void jobWithCancelledDependencyIsAcceptedAndCancelled() {
         Simulation simulation = new Simulation(3);
         simulation.run(3);
-        SimulatedUsers.Job root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 60));
+        SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 60));
         simulation.run(3);
         simulation.users.cancel(root);
         simulation.run(60);
-        SimulatedUsers.Job late = simulation.users.submit(
-                simulation.users.job("red", "batch", 1, 1, 5).after(root));
+        SimulatedJob late = simulation.users.submit(
+                simulation.users.job("red", "batch", 1, 1, 5).dependingOn(root));
         simulation.run(10);
         assertTrue(late.accepted());
         assertEquals("aborted", late.status());
-        SimulatedUsers.Job later = simulation.users.submit(
-                simulation.users.job("red", "batch", 1, 1, 5).after(late));
+        SimulatedJob later = simulation.users.submit(
+                simulation.users.job("red", "batch", 1, 1, 5).dependingOn(late));
         simulation.run(10);
         assertEquals("aborted", later.status());
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     @Test
     void jobWithCompletedDependenciesStartsAtOnce() {
         Simulation simulation = new Simulation(3);
         simulation.run(3);
-        SimulatedUsers.Job root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 5));
+        SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 5));
         simulation.run(40);
         assertEquals("done", root.status());
-        SimulatedUsers.Job late = simulation.users.submit(
-                simulation.users.job("red", "batch", 1, 1, 5).after(root, root));
+        SimulatedJob late = simulation.users.submit(
+                simulation.users.job("red", "batch", 1, 1, 5).dependingOn(root, root));
         simulation.run(30);
         assertEquals("done", late.status());
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     @Test
     void unknownDependenciesAreRejected() {
         Simulation simulation = new Simulation(3);
         simulation.run(3);
-        SimulatedUsers.Job never = simulation.users.job("blue", "batch", 1, 1, 5);
-        SimulatedUsers.Job stranger = simulation.users.submit(
-                simulation.users.job("blue", "batch", 1, 1, 5).after(never).odd());
-        SimulatedUsers.Job itself =
-                simulation.users.job("blue", "batch", 1, 1, 5).odd();
-        simulation.users.submit(itself.after(itself));
-        SimulatedUsers.Job noList = simulation.users.submit(simulation
+        SimulatedJob never = simulation.users.job("blue", "batch", 1, 1, 5);
+        SimulatedJob stranger = simulation.users.submit(simulation
+                .users
+                .job("blue", "batch", 1, 1, 5)
+                .dependingOn(never)
+                .markInvalid());
+        SimulatedJob itself = simulation.users.job("blue", "batch", 1, 1, 5).markInvalid();
+        simulation.users.submit(itself.dependingOn(itself));
+        SimulatedJob noList = simulation.users.submit(simulation
                 .users
                 .job("blue", "batch", 1, 1, 5)
                 .with("waitsOn", "run-1")
-                .odd());
-        SimulatedUsers.Job noId = simulation.users.submit(simulation
+                .markInvalid());
+        SimulatedJob noId = simulation.users.submit(simulation
                 .users
                 .job("blue", "batch", 1, 1, 5)
                 .with("waitsOn", List.of("job-1"))
-                .odd());
-        SimulatedUsers.Job nothing = simulation.users.submit(
+                .markInvalid());
+        SimulatedJob nothing = simulation.users.submit(
                 simulation.users.job("blue", "batch", 1, 1, 5).with("waitsOn", List.of()));
         simulation.run(5);
-        for (SimulatedUsers.Job job : List.of(stranger, itself, noList, noId)) {
-            assertTrue(job.refused(), job.jobId());
+        for (SimulatedJob job : List.of(stranger, itself, noList, noId)) {
+            assertTrue(job.rejected(), job.jobId());
         }
         assertTrue(nothing.accepted());
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     @Test
     void resubmissionWithOtherDependenciesIsIdempotent() {
         Simulation simulation = new Simulation(3);
         simulation.run(3);
-        SimulatedUsers.Job root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 5));
+        SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 5));
         simulation.run(3);
-        SimulatedUsers.Job job = simulation.users.submit(
-                simulation.users.job("red", "batch", 1, 1, 20).after(root));
+        SimulatedJob job = simulation.users.submit(
+                simulation.users.job("red", "batch", 1, 1, 20).dependingOn(root));
         simulation.run(3);
-        SimulatedUsers.Job never = simulation.users.job("blue", "batch", 1, 1, 5);
-        simulation.users.submit(job.after(never));
+        SimulatedJob never = simulation.users.job("blue", "batch", 1, 1, 5);
+        simulation.users.submit(job.dependingOn(never));
         simulation.run(3);
-        assertFalse(job.refused());
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertFalse(job.rejected());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     /** A submission with many dependencies is accepted, or rejected at once with the bound. */
     @Test
     void tooManyDependenciesAreRejectedWithTheBound() {
         Simulation simulation = new Simulation(3, 1, 1_000);
-        simulation.announceLimits(2_048, 4, 28);
+        simulation.controllers.announceLimits(2_048, 4, 28);
         simulation.run(3);
-        List<SimulatedUsers.Job> roots = new ArrayList<>();
+        List<SimulatedJob> roots = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             roots.add(simulation.users.submit(simulation.users.job("blue", "batch", 1, 0.1, 5)));
             simulation.run(0.2);
         }
-        SimulatedUsers.Job fits = simulation.users.submit(
-                simulation.users.job("red", "batch", 1, 1, 5).after(roots.toArray(SimulatedUsers.Job[]::new)));
+        SimulatedJob fits = simulation.users.submit(
+                simulation.users.job("red", "batch", 1, 1, 5).dependingOn(roots.toArray(SimulatedJob[]::new)));
         List<String> many = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
             many.add(roots.get(i % 60).jobId() + i);
@@ -151,7 +153,7 @@
                 .job("red", "batch", 1, 1, 5)
                 .with("waitsOn", many)
                 .body());
-        simulation.call(
+        simulation.network.call(
                 "users",
                 "node-0:1",
                 new Http.Request("POST", "/submissions", "", body),
@@ -163,6 +165,6 @@
         assertTrue(answers.get(0).startsWith("400") && answers.get(0).contains("1740 bytes"), answers.get(0));
         simulation.run(120);
         assertEquals("done", fits.status());
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 }
--- a/src/test/java/org/spoolline/simulation/FakeCloud.java
+++ b/src/test/java/org/spoolline/simulation/FakeCloud.java
@@ -12,52 +12,57 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** The cloud by PROTOCOL: two types in two zones, a list that lags, boots that take their time. */
+/** The cloud by PROTOCOL: two machine types in two zones, a stale list of machines, and boots that take time. */
 public final class FakeCloud {
-    private static final long LAG_MS = 6_000;
+    private static final long LIST_STALENESS_MS = 6_000;
 
-    private record Rented(String name, String type, String zone, boolean spot, long at) {}
+    private static final long SNAPSHOT_MS = 500;
+    private static final int MAX_SNAPSHOTS = 40;
+
+    private record Machine(String name, String type, String zone, boolean spot, long grantedAt) {}
 
     private final Simulation simulation;
-    private final Map<String, Rented> rented = new LinkedHashMap<>();
-    private final Map<String, List<String>> answers = new HashMap<>();
-    private final List<Map.Entry<Long, List<Rented>>> history = new ArrayList<>();
-    private int names;
-    private boolean out;
-    /** Machines of one type, zone and kind at most. */
+    private final Map<String, Machine> machines = new LinkedHashMap<>();
+    private final Map<String, List<String>> grantsByRequest = new HashMap<>();
+    private final List<Map.Entry<Long, List<Machine>>> history = new ArrayList<>();
+    private int machineCount;
+    private boolean outage;
+    /** The most machines of one type and zone, spot and on demand each. */
     public int capacity = 6;
     /** Malformed entries that the list of machine types holds beside the proper ones. */
-    public List<JsonNode> oddTypes = List.of();
+    public List<JsonNode> malformedTypes = List.of();
 
-    public double bootS = 10;
-    /** Machines that never come up: the next so many. */
-    public int neverUp;
+    /** Mean time to boot. */
+    public double bootSeconds = 10;
+    /** The next so many machines never boot. */
+    public int bootsToFail;
 
     FakeCloud(Simulation simulation) {
         this.simulation = simulation;
         snapshot();
     }
 
+    /** Every request gets 503 for so many seconds. */
     public void outage(double seconds) {
-        out = true;
-        simulation.at((long) (seconds * 1000), () -> out = false);
+        outage = true;
+        simulation.at((long) (seconds * 1000), () -> outage = false);
     }
 
     private void snapshot() {
-        history.add(Map.entry(simulation.now(), List.copyOf(rented.values())));
-        if (history.size() > 40) {
+        history.add(Map.entry(simulation.now(), List.copyOf(machines.values())));
+        if (history.size() > MAX_SNAPSHOTS) {
             history.remove(0);
         }
-        simulation.at(500, this::snapshot);
+        simulation.at(SNAPSHOT_MS, this::snapshot);
     }
 
-    /** Cores of a type. */
+    /** Cores of a machine type. */
     static double cores(String type) {
         return type.equals("big") ? 16 : 8;
     }
 
     void handle(Http.Request request, Consumer<Http.Response> reply) {
-        if (out) {
+        if (outage) {
             reply.accept(Http.Response.of(503, Json.bytes(Json.object().put("error", "trouble"))));
             return;
         }
@@ -67,12 +72,12 @@
             ArrayNode types = body.putArray("builds");
             types.add(type("small", 8, 0.5, 0.2));
             types.add(type("big", 16, 1.1, 0.45));
-            oddTypes.forEach(types::add);
+            malformedTypes.forEach(types::add);
             reply.accept(Http.Response.of(200, Json.bytes(body)));
         } else if (path.equals("/rentals")) {
-            rent(Json.read(request.body()), reply);
+            scaleOut(Json.read(request.body()), reply);
         } else if (path.equals("/rentals/delete")) {
-            Json.read(request.body()).path("spoolers").forEach(n -> take(n.asText()));
+            Json.read(request.body()).path("spoolers").forEach(n -> remove(n.asText()));
             reply.accept(Http.Response.of(200, Json.bytes(Json.object())));
         } else {
             list(path, reply);
@@ -94,86 +99,106 @@
         return type;
     }
 
-    private void rent(JsonNode body, Consumer<Http.Response> reply) {
+    /** Grants machines; a repeated request gets the same ones again. */
+    private void scaleOut(JsonNode body, Consumer<Http.Response> reply) {
         String request = body.path("hire").asText();
-        List<String> given = answers.get(request);
-        if (given == null) {
-            given = new ArrayList<>();
-            String type = body.path("build").asText();
-            String zone = body.path("yard").asText();
-            boolean spot = body.path("standby").asBoolean();
-            for (int i = 0; i < body.path("count").asInt(); i++) {
-                long held = rented.values().stream()
-                        .filter(r -> r.type().equals(type) && r.zone().equals(zone) && r.spot() == spot)
-                        .count();
-                if (held >= capacity) {
-                    break;
-                }
-                String name = String.format("m-%06d", ++names);
-                rented.put(name, new Rented(name, type, zone, spot, simulation.now()));
-                given.add(name);
-                long boot = (long) (bootS * 1000 * (0.6 + 0.9 * simulation.random.nextDouble()));
-                if (neverUp > 0) {
-                    neverUp--;
-                    continue;
-                }
-                simulation.at(boot, () -> {
-                    if (rented.containsKey(name)) {
-                        simulation.workers.put(name, new FakeWorker(simulation, name, type, zone, spot));
-                    }
-                });
-            }
-            if (given.isEmpty()) {
+        List<String> granted = grantsByRequest.get(request);
+        if (granted == null) {
+            granted = grant(body);
+            if (granted.isEmpty()) {
                 reply.accept(Http.Response.of(503, Json.bytes(Json.object().put("error", "no capacity"))));
                 return;
             }
-            answers.put(request, given);
+            grantsByRequest.put(request, granted);
         }
         ArrayNode names = Json.array();
-        given.forEach(names::add);
+        granted.forEach(names::add);
         ObjectNode answer = Json.object();
         answer.set("spoolers", names);
         reply.accept(Http.Response.of(200, Json.bytes(answer)));
     }
 
+    /** The names of as many of the requested machines as there is capacity for. */
+    private List<String> grant(JsonNode body) {
+        List<String> granted = new ArrayList<>();
+        String type = body.path("build").asText();
+        String zone = body.path("yard").asText();
+        boolean spot = body.path("standby").asBoolean();
+        for (int i = 0; i < body.path("count").asInt(); i++) {
+            if (inUse(type, zone, spot) >= capacity) {
+                break;
+            }
+            String name = String.format("m-%06d", ++machineCount);
+            Machine machine = new Machine(name, type, zone, spot, simulation.now());
+            machines.put(name, machine);
+            granted.add(name);
+            boot(machine);
+        }
+        return granted;
+    }
+
+    private long inUse(String type, String zone, boolean spot) {
+        return machines.values().stream()
+                .filter(machine -> machine.type().equals(type) && machine.zone().equals(zone) && machine.spot() == spot)
+                .count();
+    }
+
+    private void boot(Machine machine) {
+        long bootMs = (long) (bootSeconds * 1000 * (0.6 + 0.9 * simulation.random.nextDouble()));
+        if (bootsToFail > 0) {
+            bootsToFail--;
+            return;
+        }
+        simulation.at(bootMs, () -> {
+            if (holds(machine.name())) {
+                FakeWorker worker =
+                        new FakeWorker(simulation, machine.name(), machine.type(), machine.zone(), machine.spot());
+                simulation.workers().put(machine.name(), worker);
+            }
+        });
+    }
+
+    /** True until the machine is scaled in or taken away. */
     boolean holds(String name) {
-        return rented.containsKey(name);
+        return machines.containsKey(name);
     }
 
-    /** The machine and all that is on it are gone. */
-    public void take(String name) {
-        rented.remove(name);
-        FakeWorker worker = simulation.workers.get(name);
+    /** Takes the machine away, with all that runs on it. */
+    public void remove(String name) {
+        machines.remove(name);
+        FakeWorker worker = simulation.workers().get(name);
         if (worker != null) {
-            worker.die();
+            worker.losePower();
         }
     }
 
+    /** A page of the machines as of some seconds ago. */
     private void list(String path, Consumer<Http.Response> reply) {
-        long asOf = simulation.now() - LAG_MS - simulation.random.nextLong(LAG_MS);
-        List<Rented> then = List.of();
+        long asOf = simulation.now() - LIST_STALENESS_MS - simulation.random.nextLong(LIST_STALENESS_MS);
+        List<Machine> then = List.of();
         long at = 0;
-        for (Map.Entry<Long, List<Rented>> entry : history) {
+        for (Map.Entry<Long, List<Machine>> entry : history) {
             if (entry.getKey() <= asOf) {
                 then = entry.getValue();
                 at = entry.getKey();
             }
         }
         String after = path.replaceAll(".*after=([^&]*).*", "$1");
-        int most = Integer.parseInt(path.replaceAll(".*most=(\\d+).*", "$1"));
-        List<Rented> rest =
-                then.stream().filter(r -> r.name().compareTo(after) > 0).toList();
-        ObjectNode body = Json.object().put("hasNext", rest.size() > most);
-        ArrayNode machines = body.putArray("spoolers");
-        for (Rented r : rest.subList(0, Math.min(most, rest.size()))) {
-            machines.addObject()
-                    .put("uid", r.name())
-                    .put("addr", r.name() + ":9")
-                    .put("build", r.type())
-                    .put("yard", r.zone())
-                    .put("standby", r.spot())
+        int limit = Integer.parseInt(path.replaceAll(".*most=(\\d+).*", "$1"));
+        List<Machine> rest = then.stream()
+                .filter(machine -> machine.name().compareTo(after) > 0)
+                .toList();
+        ObjectNode body = Json.object().put("hasNext", rest.size() > limit);
+        ArrayNode page = body.putArray("spoolers");
+        for (Machine machine : rest.subList(0, Math.min(limit, rest.size()))) {
+            page.addObject()
+                    .put("uid", machine.name())
+                    .put("addr", machine.name() + ":9")
+                    .put("build", machine.type())
+                    .put("yard", machine.zone())
+                    .put("standby", machine.spot())
                     .put("status", "running")
-                    .put("heldS", (at - r.at()) / 1000.0);
+                    .put("heldS", (at - machine.grantedAt()) / 1000.0);
         }
         reply.accept(Http.Response.of(200, Json.bytes(body)));
     }
--- a/src/test/java/org/spoolline/simulation/FakeWorker.java
+++ b/src/test/java/org/spoolline/simulation/FakeWorker.java
@@ -1,220 +1,199 @@
 package org.spoolline.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import java.util.OptionalDouble;
 import java.util.function.Consumer;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** A worker by PROTOCOL: reports, leases, tokens, tasks, gangs. */
+/** A machine and the worker on it, by PROTOCOL: heartbeats, lease, fencing token and commands. */
 public final class FakeWorker {
     private static final long LEASE_MS = 16_000;
-    private static final long ANSWER_MS = 4_000;
-    private static final long CACHED_MS = 50;
-    /** Without an answer for so long it counts as out of touch. */
-    private static final long IN_TOUCH_MS = 5_000;
-
-    /** One attempt here; {@code since} is when it began to run, or -1. */
-    final class Task {
-        final String jobId;
-        final int index;
-        final long attempt;
-        String phase = "pulling";
-        String cause;
-        boolean saved;
-
-        Task(String jobId, int index, long attempt) {
-            this.jobId = jobId;
-            this.index = index;
-            this.attempt = attempt;
-        }
-
-        String slip() {
-            return jobId + "/" + index;
-        }
-
-        boolean alive() {
-            return !phase.equals("exited");
-        }
-
-        FakeWorker worker() {
-            return FakeWorker.this;
-        }
-
-        void exit(String why) {
-            if (alive()) {
-                boolean started = !phase.equals("pulling");
-                phase = "exited";
-                cause = why;
-                if (started) {
-                    simulation.invariants.ended(this);
-                }
-                changed();
-            }
-        }
-    }
+    private static final long RESPONSE_TIMEOUT_MS = 4_000;
+    private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
+    private static final long RETRY_MS = 1_000;
+    private static final long LEASE_CHECK_MS = 100;
+    /** Without an answered heartbeat for so long, no work is expected to start here. */
+    private static final long SCHEDULABLE_MS = 5_000;
 
     final String name;
     final String type;
     final String zone;
     final boolean spot;
     private final Simulation simulation;
-    private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private final Set<String> images = new HashSet<>();
-    private boolean dead;
-    private boolean hung;
+    private final WorkerTasks tasks;
+    private boolean down;
+    private boolean hanging;
     private long incarnation = 1;
-    private long tick;
-    private long baton;
+    private long messageNumber;
+    private long token;
     private long leaseFrom;
-    private int target;
-    private boolean inFlight;
-    private boolean due;
+    private int targetIndex;
+    private boolean heartbeatInFlight;
+    private boolean heartbeatDue;
     private long lastSent = -10_000;
-    /** Every start fails here. */
-    public boolean sick;
+    /** Every task that starts here fails. */
+    public boolean failsEveryTask;
 
-    private Double noticeS;
+    private OptionalDouble preemptionNoticeS = OptionalDouble.empty();
 
+    /** A worker that has just booted and sends its first heartbeat to a random controller. */
     FakeWorker(Simulation simulation, String name, String type, String zone, boolean spot) {
         this.simulation = simulation;
         this.name = name;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
+        this.tasks = new WorkerTasks(simulation, this);
         this.leaseFrom = simulation.now();
-        this.target = simulation.random.nextInt(simulation.nodes.size());
-        tick();
-        report();
+        this.targetIndex =
+                simulation.random.nextInt(simulation.controllers.names().size());
+        checkLeasePeriodically();
+        sendHeartbeat();
     }
 
-    /** Power loss. */
-    public void die() {
-        dead = true;
-        endAll();
+    /** The machine loses power, and everything on it is lost. */
+    public void losePower() {
+        down = true;
+        tasks.loseAll();
     }
 
-    /** Power loss, and up again under the same name so soon that nobody missed it: all it knew is gone. */
-    public void dieAndBeBack(double seconds) {
-        die();
+    /** The machine loses power, and a worker without its memory starts under the same name after so many seconds. */
+    public void restartAfter(double seconds) {
+        losePower();
         simulation.at((long) (seconds * 1000), () -> {
             if (simulation.cloud.holds(name)) {
-                simulation.workers.put(name, new FakeWorker(simulation, name, type, zone, spot));
+                simulation.workers().put(name, new FakeWorker(simulation, name, type, zone, spot));
             }
         });
     }
 
+    /** The worker does nothing for so many seconds; its tasks make no progress. */
     public void hang(double seconds) {
-        hung = true;
+        hanging = true;
         simulation.at((long) (seconds * 1000), () -> {
-            hung = false;
+            hanging = false;
             checkLease();
-            report();
+            sendHeartbeat();
         });
     }
 
-    public void notice(double seconds) {
-        noticeS = seconds;
-        changed();
-        simulation.at((long) (seconds * 1000), () -> simulation.cloud.take(name));
+    /** The cloud announces that it takes the spot machine back in so many seconds, and does. */
+    public void preemptWithNotice(double seconds) {
+        preemptionNoticeS = OptionalDouble.of(seconds);
+        statusChanged();
+        simulation.at((long) (seconds * 1000), () -> simulation.cloud.remove(name));
+    }
+
+    /** The controller that receives its heartbeats now. */
+    String heartbeatTarget() {
+        return simulation.controllers.names().get(targetIndex);
+    }
+
+    boolean isDown() {
+        return down;
     }
 
-    /** The node that it reports to now. */
-    String reportsTo() {
-        return List.copyOf(simulation.nodes.keySet()).get(target);
+    boolean isHanging() {
+        return hanging;
     }
 
-    boolean dead() {
-        return dead;
+    /** True while its heartbeats are answered, so that work could be started here. */
+    boolean isSchedulable() {
+        return !down
+                && !hanging
+                && preemptionNoticeS.isEmpty()
+                && !failsEveryTask
+                && simulation.now() - leaseFrom < SCHEDULABLE_MS;
     }
 
-    /** True while its reports are answered, so that work could be started here. */
-    boolean inTouch() {
-        return !dead && !hung && noticeS == null && !sick && simulation.now() - leaseFrom < IN_TOUCH_MS;
+    /** Cores of the machine. */
+    double cores() {
+        return FakeCloud.cores(type);
     }
 
-    /** Cores that no task holds, not even one that waits for its image. */
-    double free() {
-        return FakeCloud.cores(type)
-                - tasks.values().stream()
-                        .filter(Task::alive)
-                        .mapToDouble(t -> simulation.users.cores(t.jobId))
-                        .sum();
+    /** Cores that no attempt holds, not even one that still pulls its image. */
+    double freeCores() {
+        return cores() - tasks.usedCores();
     }
 
-    /** True when a task of the job may run on this machine, as far as its kind and place go. */
-    boolean suits(SimulatedUsers.Job job) {
+    /** True when a task of the job may run on this machine when empty. */
+    boolean fits(SimulatedJob job) {
         return (job.zone() == null || job.zone().equals(zone))
                 && (job.type() == null || job.type().equals(type))
-                && (job.spot() || !spot)
-                && job.cores() <= FakeCloud.cores(type);
+                && (job.allowsSpot() || !spot)
+                && job.cores() <= cores();
     }
 
-    List<Task> tasks() {
-        return new ArrayList<>(tasks.values());
+    /** The attempts here, in order of launch. */
+    List<SimulatedTask> tasks() {
+        return tasks.list();
     }
 
-    private void endAll() {
-        for (Task t : tasks.values()) {
-            if (t.alive()) {
-                boolean started = !t.phase.equals("pulling");
-                t.phase = "exited";
-                t.cause = "lost";
-                if (started) {
-                    simulation.invariants.ended(t);
-                }
-            }
-        }
-        tasks.clear();
+    /** Lets the task of a gang run for so long, and then completes the gang. */
+    void runFor(SimulatedTask task, long runMs) {
+        tasks.runFor(task, runMs);
     }
 
-    private void tick() {
-        if (dead) {
+    private void checkLeasePeriodically() {
+        if (down) {
             return;
         }
-        // A hanging machine may resume within its lease; past it, its tasks are gone whether it resumes or not.
+        // A hanging worker may resume within its lease; past it, its tasks are lost whether it resumes or not.
         checkLease();
-        simulation.at(100, this::tick);
+        simulation.at(LEASE_CHECK_MS, this::checkLeasePeriodically);
     }
 
     private void checkLease() {
-        if (!dead && simulation.now() - leaseFrom > LEASE_MS) {
-            endAll();
+        if (!down && simulation.now() - leaseFrom > LEASE_MS) {
+            tasks.loseAll();
             incarnation++;
             leaseFrom = simulation.now();
-            changed();
+            statusChanged();
         }
     }
 
-    private void changed() {
-        due = true;
-        simulation.at(Math.max(0, lastSent + 500 - simulation.now()), () -> {
-            if (due) {
-                report();
+    /** Sends a heartbeat as soon as the interval allows. */
+    void statusChanged() {
+        heartbeatDue = true;
+        long delayMs = Math.max(0, lastSent + MIN_HEARTBEAT_INTERVAL_MS - simulation.now());
+        simulation.at(delayMs, () -> {
+            if (heartbeatDue) {
+                sendHeartbeat();
             }
         });
     }
 
-    private void later(long delay) {
-        simulation.at(delay, this::report);
-    }
-
-    private void report() {
-        if (dead || hung || inFlight || simulation.now() - lastSent < 500) {
+    private void sendHeartbeat() {
+        if (down || hanging || heartbeatInFlight || simulation.now() - lastSent < MIN_HEARTBEAT_INTERVAL_MS) {
             return;
         }
-        inFlight = true;
-        due = false;
+        heartbeatInFlight = true;
+        heartbeatDue = false;
         lastSent = simulation.now();
-        long sent = simulation.now();
-        long sentShift = incarnation;
+        long sentAt = simulation.now();
+        long sentIncarnation = incarnation;
+        Http.Request request = new Http.Request("POST", "/checkin", "", Json.bytes(heartbeat()));
+        simulation.network.call(name, heartbeatTarget() + ":1", request, RESPONSE_TIMEOUT_MS, reply -> {
+            heartbeatInFlight = false;
+            if (down || hanging) {
+                return;
+            }
+            if (reply.status() == 200) {
+                accept(Json.read(reply.body()), sentAt, sentIncarnation);
+                simulation.at(2_250 + simulation.random.nextInt(1_500), this::sendHeartbeat);
+                if (heartbeatDue) {
+                    statusChanged();
+                }
+            } else {
+                tryAnotherController(reply);
+            }
+        });
+    }
+
+    private ObjectNode heartbeat() {
         ObjectNode body = Json.object()
                 .put("spooler", name)
                 .put("addr", name + ":9")
@@ -222,179 +201,60 @@
                 .put("yard", zone)
                 .put("standby", spot)
                 .put("shift", incarnation)
-                .put("tick", ++tick)
-                .put("baton", baton);
-        if (noticeS != null) {
-            body.put("recallS", noticeS);
-        }
-        ArrayNode slips = body.putArray("slips");
-        for (Task t : tasks.values()) {
-            ObjectNode slip = slips.addObject()
-                    .put("slip", t.slip())
-                    .put("try", t.attempt)
-                    .put("status", t.phase);
-            if (t.cause != null) {
-                slip.put("cause", t.cause).put("kept", t.saved);
-            }
-        }
-        String node = List.copyOf(simulation.nodes.keySet()).get(target);
-        simulation.call(
-                name, node + ":1", new Http.Request("POST", "/checkin", "", Json.bytes(body)), ANSWER_MS, reply -> {
-                    inFlight = false;
-                    if (dead || hung) {
-                        return;
-                    }
-                    if (reply.status() == 200) {
-                        take(Json.read(reply.body()), sent, sentShift);
-                        later(2_250 + simulation.random.nextInt(1_500));
-                        if (due) {
-                            changed();
-                        }
-                        return;
-                    }
-                    String foreman = reply.status() == 421
-                            ? Json.read(reply.body()).path("foreman").asText("")
-                            : "";
-                    int named = List.copyOf(simulation.nodes.keySet()).indexOf(foreman);
-                    if (named >= 0 && named != target) {
-                        target = named;
-                        later(500);
-                    } else {
-                        target = (target + 1) % simulation.nodes.size();
-                        later(1_000);
-                    }
-                });
+                .put("tick", ++messageNumber)
+                .put("baton", token);
+        preemptionNoticeS.ifPresent(seconds -> body.put("recallS", seconds));
+        tasks.writeStatus(body.putArray("slips"));
+        return body;
     }
 
-    private void take(JsonNode answer, long sent, long sentShift) {
-        if (sentShift != incarnation
-                || !answer.has("baton")
-                || answer.path("baton").asLong() < baton) {
-            return;
-        }
-        if (answer.path("baton").asLong() > baton) {
-            baton = answer.path("baton").asLong();
-            changed();
-        }
-        leaseFrom = sent;
-        for (JsonNode order : answer.path("orders")) {
-            carryOut(order);
+    private void tryAnotherController(Http.Reply reply) {
+        String leader =
+                reply.status() == 421 ? Json.read(reply.body()).path("foreman").asText("") : "";
+        List<String> controllers = simulation.controllers.names();
+        int leaderIndex = controllers.indexOf(leader);
+        if (leaderIndex >= 0 && leaderIndex != targetIndex) {
+            targetIndex = leaderIndex;
+            simulation.at(MIN_HEARTBEAT_INTERVAL_MS, this::sendHeartbeat);
+        } else {
+            targetIndex = (targetIndex + 1) % controllers.size();
+            simulation.at(RETRY_MS, this::sendHeartbeat);
         }
     }
 
-    /** Direct commands: carried out if token and session still match, however late they come. */
-    void commands(Http.Request request, Consumer<Http.Response> reply) {
-        if (dead || hung) {
+    /** Renews the lease and carries out commands, unless the response is of an earlier incarnation or token. */
+    private void accept(JsonNode response, long sentAt, long sentIncarnation) {
+        if (sentIncarnation != incarnation
+                || !response.has("baton")
+                || response.path("baton").asLong() < token) {
             return;
         }
-        JsonNode body = Json.read(request.body());
-        long token = body.path("baton").asLong();
-        tick++;
-        if (token < baton || body.path("shift").asLong() != incarnation) {
-            reply.accept(Http.Response.of(409, new byte[0]));
-            return;
-        }
-        if (token > baton) {
-            baton = token;
-            changed();
-        }
-        for (JsonNode order : body.path("orders")) {
-            carryOut(order);
-        }
-        reply.accept(Http.Response.of(200, new byte[0]));
+        adoptToken(response.path("baton").asLong());
+        leaseFrom = sentAt;
+        response.path("orders").forEach(tasks::carryOut);
     }
 
-    private void carryOut(JsonNode order) {
-        String slip = order.path("slip").asText();
-        long attempt = order.path("try").asLong();
-        String id = slip + "#" + attempt;
-        Task known = tasks.get(id);
-        switch (order.path("verb").asText()) {
-            case "launch" -> {
-                if (known == null) {
-                    launch(id, slip, attempt);
-                }
-            }
-            case "kill" -> {
-                if (known != null && known.alive()) {
-                    known.saved = order.path("windDownS").asDouble() >= 1 && simulation.users.saves(known.jobId);
-                    known.exit("halted");
-                }
-            }
-            case "clear" -> {
-                if (known != null && !known.alive()) {
-                    tasks.remove(id);
-                }
-            }
-            default -> throw new AssertionError(order);
+    private void adoptToken(long newToken) {
+        if (newToken > token) {
+            token = newToken;
+            statusChanged();
         }
     }
 
-    private void launch(String id, String slip, long attempt) {
-        int slash = slip.indexOf('/');
-        Task task = new Task(slip.substring(0, slash), Integer.parseInt(slip.substring(slash + 1)), attempt);
-        tasks.put(id, task);
-        if (!simulation.users.hasSubmitted(task.jobId)) {
-            task.exit("unknown");
+    /** Carries out direct commands if token and incarnation still match, however late they arrive. */
+    void receiveCommands(Http.Request request, Consumer<Http.Response> reply) {
+        if (down || hanging) {
             return;
         }
-        double used = 0;
-        for (Task t : tasks.values()) {
-            if (t != task && t.alive()) {
-                used += simulation.users.cores(t.jobId);
-                if (t.slip().equals(slip)) {
-                    task.exit("in_use");
-                    return;
-                }
-            }
-        }
-        if (used + simulation.users.cores(task.jobId) > FakeCloud.cores(type)) {
-            task.exit("no_room");
+        JsonNode body = Json.read(request.body());
+        long commandToken = body.path("baton").asLong();
+        messageNumber++;
+        if (commandToken < token || body.path("shift").asLong() != incarnation) {
+            reply.accept(Http.Response.of(409, new byte[0]));
             return;
         }
-        changed();
-        simulation.invariants.launched(task);
-        String image = simulation.users.image(task.jobId);
-        simulation.at(images.contains(image) ? CACHED_MS : simulation.users.fetchMs(task.jobId), () -> {
-            if (dead || !task.alive() || !tasks.containsValue(task)) {
-                return;
-            }
-            images.add(image);
-            simulation.invariants.started(task);
-            if (sick || simulation.users.faulty(task.jobId)) {
-                task.phase = "running";
-                task.exit("error");
-            } else if (simulation.users.gang(task.jobId)) {
-                task.phase = "gathering";
-                simulation.users.gathered(task);
-            } else {
-                task.phase = "running";
-                runFor(task, simulation.users.runMs(task.jobId, task.index));
-            }
-            changed();
-        });
-    }
-
-    /** Completes the task after its time, unless it ends before; a hanging machine makes no progress. */
-    void runFor(Task task, long left) {
-        simulation.at(200, () -> {
-            if (dead || !task.alive()) {
-                return;
-            }
-            long rest = hung ? left : left - 200;
-            if (rest > 0) {
-                runFor(task, rest);
-            } else if (simulation.users.gang(task.jobId)) {
-                simulation.users.gangDone(task);
-            } else {
-                simulation.invariants.completed(task);
-                task.exit("done");
-                simulation.users.ended(task);
-            }
-        });
-    }
-
-    void changedByGang() {
-        changed();
+        adoptToken(commandToken);
+        body.path("orders").forEach(tasks::carryOut);
+        reply.accept(Http.Response.of(200, new byte[0]));
     }
 }
--- a/src/test/java/org/spoolline/simulation/FleetTest.java
+++ b/src/test/java/org/spoolline/simulation/FleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.spoolline.simulation.Workloads.everyJobIsDone;
+import static org.spoolline.simulation.Workloads.assertEveryJobDone;
 import static org.spoolline.simulation.Workloads.leader;
 
 import java.util.List;
@@ -10,8 +10,10 @@
 
 /** Deployments of hundreds to thousands of machines, where bounds on sockets, requests and time matter. */
 class FleetTest {
-    /** Runs job arrays and gangs of two teams on over a thousand machines; the fault is injected 70 s after the first jobs. */
-    private static void runFleet(int seed, Workloads.Trouble trouble) {
+    /**
+     * Runs job arrays and gangs of two teams on over a thousand machines; the fault follows 70 s after the first jobs.
+     */
+    private static void runFleet(int seed, Workloads.Fault fault) {
         Simulation simulation = new Simulation(seed, 200, 500);
         simulation.cloud.capacity = 190;
         simulation.run(8);
@@ -32,10 +34,10 @@
             });
         }
         simulation.run(70);
-        trouble.strike(simulation);
-        simulation.at(120_000, simulation.invariants::troublesAreOver);
+        fault.inject(simulation);
+        simulation.at(120_000, simulation.invariants::faultsEnded);
         simulation.run(330);
-        everyJobIsDone(simulation, seed);
+        assertEveryJobDone(simulation, seed);
     }
 
     /** No internal bound may lie below the users' fleet size: all machines get work, also after a leader crash. */
@@ -55,71 +57,78 @@
         }
         simulation.run(45);
         long busy = simulation.workers().values().stream()
-                .filter(w -> w.tasks().stream().anyMatch(FakeWorker.Task::alive))
+                .filter(w -> w.tasks().stream().anyMatch(SimulatedTask::isAlive))
                 .count();
         assertTrue(busy > 4_000, "expected more than 4000 machines with tasks, got " + busy);
-        simulation.crashFor(leader(simulation), 4);
-        simulation.at(20_000, simulation.invariants::troublesAreOver);
+        simulation.controllers.crashFor(leader(simulation), 4);
+        simulation.at(20_000, simulation.invariants::faultsEnded);
         simulation.run(140);
-        everyJobIsDone(simulation, 1);
+        assertEveryJobDone(simulation, 1);
     }
 
     private static List<FakeWorker> firstMachines(Simulation simulation, int count) {
         return simulation.workers().values().stream()
-                .filter(w -> !w.dead())
+                .filter(w -> !w.isDown())
                 .limit(count)
                 .toList();
     }
 
     @Test
     void fleetSurvivesRestartsOfAllControllersDuringElection() {
-        runFleet(1, w -> {
+        runFleet(1, simulation -> {
             assertTrue(
-                    firstMachines(w, 2_000).size() > 1_000,
-                    "machines: " + firstMachines(w, 2_000).size());
+                    firstMachines(simulation, 2_000).size() > 1_000,
+                    "machines: " + firstMachines(simulation, 2_000).size());
             for (int i = 0; i < 3; i++) {
                 String node = "node-" + i;
-                w.crashFor(node, 0.3);
-                w.at(600, () -> w.crashFor(node, 0.1));
-                w.at(30_000, () -> w.crashFor(node, 4));
+                simulation.controllers.crashFor(node, 0.3);
+                simulation.at(600, () -> simulation.controllers.crashFor(node, 0.1));
+                simulation.at(30_000, () -> simulation.controllers.crashFor(node, 4));
             }
-            w.copyReports(30_000);
-            w.at(100_000, () -> w.copyReports(0));
+            simulation.network.duplicateHeartbeats(30_000);
+            simulation.at(100_000, () -> simulation.network.duplicateHeartbeats(0));
         });
     }
 
-    /** Each early-heartbeat request holds a socket until its timeout: hundreds at once would leave none for the key-value store. */
+    /**
+     * Each early-heartbeat request holds a socket until its timeout: hundreds at once would leave none for the
+     * key-value store.
+     */
     @Test
     void earlyHeartbeatRequestsAreBounded() {
         Simulation simulation = new Simulation(3, 40);
         simulation.cloud.capacity = 60;
         simulation.run(8);
-        SimulatedUsers.Job job = simulation.users.submit(simulation.users.job("blue", "batch", 250, 8, 300));
+        SimulatedJob job = simulation.users.submit(simulation.users.job("blue", "batch", 250, 8, 300));
         simulation.run(50);
         simulation.workers().values().forEach(w -> w.hang(9));
-        int before = simulation.mostToWorkers;
+        int before = simulation.network.peakRequestsToWorkers();
         simulation.users.cancel(job);
         simulation.run(60);
         int most = simulation.settings("node-0").maxEarlyHeartbeatRequests();
         assertEquals(
-                most, simulation.mostToWorkers, "peak of early-heartbeat requests, before the cancellation: " + before);
+                most,
+                simulation.network.peakRequestsToWorkers(),
+                "peak of early-heartbeat requests, before the cancellation: " + before);
         assertEquals("aborted", job.status());
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     @Test
     void fleetSurvivesPartitionLeaderCrashAndStall() {
-        runFleet(2, w -> {
-            for (FakeWorker worker : firstMachines(w, 200)) {
+        runFleet(2, simulation -> {
+            for (FakeWorker worker : firstMachines(simulation, 200)) {
                 for (int i = 0; i < 3; i++) {
                     String node = "node-" + i;
-                    w.cut(worker.name, node, Simulation.Cut.HOLD);
-                    w.at(45_000, () -> w.cut(worker.name, node, Simulation.Cut.NONE));
+                    simulation.network.setLink(worker.name, node, LinkState.DELAYED);
+                    simulation.at(45_000, () -> simulation.network.setLink(worker.name, node, LinkState.CONNECTED));
                 }
             }
-            w.at(4_000, () -> w.crashFor(leader(w), 6));
-            w.at(20_000, () -> firstMachines(w, 400).subList(300, 400).forEach(FakeWorker::die));
-            w.at(70_000, () -> w.freeze(leader(w), 26));
+            simulation.at(4_000, () -> simulation.controllers.crashFor(leader(simulation), 6));
+            simulation.at(
+                    20_000,
+                    () -> firstMachines(simulation, 400).subList(300, 400).forEach(FakeWorker::losePower));
+            simulation.at(70_000, () -> simulation.controllers.stall(leader(simulation), 26));
         });
     }
 }
--- a/src/test/java/org/spoolline/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/spoolline/simulation/InvariantCheckerTest.java
@@ -20,15 +20,16 @@
         simulation.run(3);
         simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 5).with("lane", "a"));
         simulation.run(5);
-        simulation.replaceControllers((request, answer) -> answer.accept(new Http.Response(503, new byte[0], 1)));
-        simulation.invariants.troublesAreOver();
+        simulation.controllers.replaceWith((request, answer) -> answer.accept(new Http.Response(503, new byte[0], 1)));
+        simulation.invariants.faultsEnded();
         simulation.run(260);
-        simulation.invariants.dayIsOver();
+        simulation.invariants.checkAtEnd();
         for (String rule : List.of("forgotten", "begun_late", "unserved")) {
-            assertTrue(simulation.invariants.broken().stream().anyMatch(b -> b.startsWith(rule)), rule);
+            assertViolated(simulation, rule);
         }
         for (String group : List.of("class a", "team blue", "largest of a")) {
-            assertTrue(simulation.invariants.broken().stream().anyMatch(b -> b.contains(group + ": 0 of 1")), group);
+            assertTrue(
+                    simulation.invariants.violations().stream().anyMatch(b -> b.contains(group + ": 0 of 1")), group);
         }
     }
 
@@ -37,12 +38,12 @@
     void detectsDuplicateMisplacedAndContradictedTasks() {
         Simulation simulation = new Simulation(5);
         simulation.run(3);
-        SimulatedUsers.Job job = simulation.users.submit(
+        SimulatedJob job = simulation.users.submit(
                 simulation.users.job("blue", "batch", 2, 8, 500).with("yard", "a"));
         simulation.run(5);
-        simulation.replaceControllers((request, answer) -> {
+        simulation.controllers.replaceWith((request, answer) -> {
             if (request.path().equals("/checkin")) {
-                answer.accept(startEverywhere(Json.read(request.body()), job));
+                answer.accept(launchOnEveryWorker(Json.read(request.body()), job));
             } else if (request.path().endsWith("/abort")) {
                 answer.accept(status(job, "aborted"));
             } else {
@@ -57,40 +58,40 @@
         simulation.users.cancel(job);
         simulation.run(90);
         for (String rule : List.of("ran_twice", "wrong_place", "not_done", "went_back", "ran_cancelled")) {
-            assertTrue(simulation.invariants.broken().stream().anyMatch(b -> b.startsWith(rule)), rule);
+            assertViolated(simulation, rule);
         }
     }
 
-    private static Http.Response startEverywhere(JsonNode report, SimulatedUsers.Job job) {
+    private static Http.Response launchOnEveryWorker(JsonNode heartbeat, SimulatedJob job) {
         ObjectNode body = Json.object().put("baton", 1L << 40);
         ArrayNode orders = body.putArray("orders");
         orders.addObject().put("verb", "launch").put("slip", job.jobId() + "/0").put("try", 77);
         return Http.Response.of(200, Json.bytes(body));
     }
 
-    private static Http.Response status(SimulatedUsers.Job job, String status) {
+    private static Http.Response status(SimulatedJob job, String status) {
         return Http.Response.of(
                 200, Json.bytes(Json.object().put("uid", job.jobId()).put("status", status)));
     }
 
-    private static void machines(Simulation simulation, int count) {
+    private static void addMachines(Simulation simulation, int count) {
         for (int i = 0; i < count; i++) {
             String name = "x-" + i;
             simulation.workers().put(name, new FakeWorker(simulation, name, "small", "a", false));
         }
     }
 
-    private static void assertBroken(Simulation simulation, String rule) {
+    private static void assertViolated(Simulation simulation, String rule) {
         assertTrue(
-                simulation.invariants.broken().stream().anyMatch(b -> b.startsWith(rule)),
-                rule + " in " + simulation.invariants.broken());
+                simulation.invariants.violations().stream().anyMatch(b -> b.startsWith(rule)),
+                rule + " in " + simulation.invariants.violations());
     }
 
     @Test
     void detectsMostlyUnansweredPolls() {
         Simulation simulation = new Simulation(5);
         int[] asked = new int[1];
-        simulation.replaceControllers((request, answer) -> answer.accept(
+        simulation.controllers.replaceWith((request, answer) -> answer.accept(
                 request.path().equals("/submissions")
                         ? Http.Response.of(201, Json.bytes(Json.object().put("status", "pending")))
                         : Http.Response.of(
@@ -98,31 +99,31 @@
                                 Json.bytes(Json.object().put("status", "pending")))));
         simulation.users.submit(simulation.users.job("red", "batch", 3, 2, 5));
         simulation.run(100);
-        simulation.invariants.dayIsOver();
-        assertBroken(simulation, "mostly_unanswered");
+        simulation.invariants.checkAtEnd();
+        assertViolated(simulation, "mostly_unanswered");
     }
 
     /** Accepts everything, and starts nothing although workers send heartbeats. */
     @Test
     void detectsWaitingDespiteCapacityAndInvalidJobsAccepted() {
         Simulation simulation = new Simulation(5);
-        simulation.replaceControllers((request, answer) -> answer.accept(
+        simulation.controllers.replaceWith((request, answer) -> answer.accept(
                 request.path().equals("/checkin")
                         ? Http.Response.of(200, Json.bytes(Json.object().put("baton", 1)))
                         : Http.Response.of(200, Json.bytes(Json.object().put("status", "pending")))));
-        machines(simulation, 1);
-        SimulatedUsers.Job waiting = simulation.users.submit(simulation.users.job("red", "batch", 3, 2, 5));
-        SimulatedUsers.Job tooLarge = simulation.users.submit(
-                simulation.users.job("red", "group", 3, 4, 5).odd());
+        addMachines(simulation, 1);
+        SimulatedJob waiting = simulation.users.submit(simulation.users.job("red", "batch", 3, 2, 5));
+        SimulatedJob tooLarge = simulation.users.submit(
+                simulation.users.job("red", "group", 3, 4, 5).markInvalid());
         simulation.run(3);
-        simulation.invariants.troublesAreOver();
+        simulation.invariants.faultsEnded();
         simulation.run(100);
-        assertBroken(simulation, "left_waiting");
-        assertBroken(simulation, "accepted_odd");
-        assertTrue(simulation.invariants.broken().stream()
+        assertViolated(simulation, "left_waiting");
+        assertViolated(simulation, "accepted_odd");
+        assertTrue(simulation.invariants.violations().stream()
                 .anyMatch(b -> b.startsWith("left_waiting") && b.contains(waiting.jobId())));
         assertTrue(
-                simulation.invariants.broken().stream()
+                simulation.invariants.violations().stream()
                         .noneMatch(b -> b.startsWith("left_waiting") && b.contains(tooLarge.jobId())),
                 "12 cores don't fit 8");
     }
@@ -130,18 +131,18 @@
     @Test
     void detectsStartAfterCancellationQuotaExcessAndUnknownJob() {
         Simulation simulation = new Simulation(5);
-        boolean[] starts = new boolean[1];
-        SimulatedUsers.Job job = simulation.users.job("red", "batch", 5, 8, 500);
-        simulation.replaceControllers((request, answer) -> {
+        boolean[] launching = new boolean[1];
+        SimulatedJob job = simulation.users.job("red", "batch", 5, 8, 500);
+        simulation.controllers.replaceWith((request, answer) -> {
             if (!request.path().equals("/checkin")) {
                 answer.accept(status(job, request.path().endsWith("/abort") ? "aborted" : "pending"));
                 return;
             }
-            JsonNode report = Json.read(request.body());
-            String index = report.path("spooler").asText().substring(2);
+            JsonNode heartbeat = Json.read(request.body());
+            String index = heartbeat.path("spooler").asText().substring(2);
             ObjectNode body = Json.object().put("baton", 1);
             ArrayNode orders = body.putArray("orders");
-            if (starts[0]) {
+            if (launching[0]) {
                 orders.addObject()
                         .put("verb", "launch")
                         .put("slip", job.jobId() + "/" + index)
@@ -149,16 +150,16 @@
             }
             answer.accept(Http.Response.of(200, Json.bytes(body)));
         });
-        machines(simulation, 5);
+        addMachines(simulation, 5);
         simulation.users.submit(job);
         simulation.run(3);
         simulation.users.cancel(job);
-        simulation.at(12_000, () -> starts[0] = true);
-        simulation.users.askForNothing(status -> assertEquals(200, status));
+        simulation.at(12_000, () -> launching[0] = true);
+        simulation.users.pollUnknownJob(status -> assertEquals(200, status));
         simulation.run(30);
-        assertBroken(simulation, "started_cancelled");
-        assertBroken(simulation, "quota");
-        assertBroken(simulation, "invented");
+        assertViolated(simulation, "started_cancelled");
+        assertViolated(simulation, "quota");
+        assertViolated(simulation, "invented");
     }
 
     /** A scheduler that ignores dependencies. */
@@ -166,22 +167,22 @@
     void detectsEarlyStartAndOrphanedDependent() {
         Simulation simulation = new Simulation(1);
         simulation.run(3);
-        SimulatedUsers.Job root = simulation.users.submit(simulation.users.job("blue", "batch", 1, 1, 100));
+        SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 1, 1, 100));
         simulation.run(20);
-        SimulatedUsers.Job ignored = simulation.users.job("blue", "batch", 1, 1, 5);
+        SimulatedJob ignored = simulation.users.job("blue", "batch", 1, 1, 5);
         simulation.users.submit(ignored);
-        ignored.after(root);
+        ignored.dependingOn(root);
         simulation.run(20);
         assertTrue(
-                simulation.invariants.broken().stream().anyMatch(b -> b.startsWith("too_early")),
-                simulation.invariants.broken()::toString);
+                simulation.invariants.violations().stream().anyMatch(b -> b.startsWith("too_early")),
+                simulation.invariants.violations()::toString);
         simulation.users.cancel(root);
         simulation.run(5);
-        simulation.replaceControllers((request, reply) ->
+        simulation.controllers.replaceWith((request, reply) ->
                 reply.accept(Http.Response.of(200, Json.bytes(Json.object().put("status", "pending")))));
         simulation.run(60);
         assertTrue(
-                simulation.invariants.broken().stream().anyMatch(b -> b.startsWith("orphaned")),
-                simulation.invariants.broken()::toString);
+                simulation.invariants.violations().stream().anyMatch(b -> b.startsWith("orphaned")),
+                simulation.invariants.violations()::toString);
     }
 }
--- a/src/test/java/org/spoolline/simulation/KeyValueStoreFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/KeyValueStoreFaultsTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.spoolline.simulation.Workloads.busy;
-import static org.spoolline.simulation.Workloads.day;
+import static org.spoolline.simulation.Workloads.busyWorker;
 import static org.spoolline.simulation.Workloads.leader;
+import static org.spoolline.simulation.Workloads.runScenario;
 
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -15,25 +15,25 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void shortKeyValueStoreOutage(int seed) {
-        day(seed, 260, simulation -> simulation.store.outage(20));
+        runScenario(seed, 260, simulation -> simulation.store.outage(20));
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void longKeyValueStoreOutage(int seed) {
-        day(seed, 420, simulation -> simulation.store.outage(120));
+        runScenario(seed, 420, simulation -> simulation.store.outage(120));
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void commitResponsesAreLost(int seed) {
-        day(seed, 260, simulation -> simulation.store.answersToLose = 6);
+        runScenario(seed, 260, simulation -> simulation.store.commitResponsesToLose = 6);
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void commitsAreAppliedLate(int seed) {
-        day(seed, 260, simulation -> {
+        runScenario(seed, 260, simulation -> {
             simulation.store.commitsToDelay = 5;
             simulation.at(20_000, () -> simulation.store.commitsToDelay = 3);
         });
@@ -42,9 +42,9 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void keyValueStoreIsSlow(int seed) {
-        day(seed, 300, simulation -> {
-            simulation.slow("state", true);
-            simulation.at(60_000, () -> simulation.slow("state", false));
+        runScenario(seed, 300, simulation -> {
+            simulation.network.slowDown(Network.KEY_VALUE_STORE);
+            simulation.at(60_000, () -> simulation.network.restoreSpeed(Network.KEY_VALUE_STORE));
         });
     }
 
@@ -58,21 +58,21 @@
             simulation.at(i * 100L, () -> simulation.users.submit(simulation.users.job("blue", "batch", 1, 1, 600)));
         }
         simulation.run(90);
-        simulation.invariants.troublesAreOver();
+        simulation.invariants.faultsEnded();
         simulation.run(240);
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         assertTrue(
-                simulation.users.pollsInVain * 3 < simulation.users.polls,
-                simulation.users.pollsInVain + " of " + simulation.users.polls + " polls in vain");
+                simulation.users.unansweredPolls() * 3 < simulation.users.polls(),
+                simulation.users.unansweredPolls() + " of " + simulation.users.polls() + " polls in vain");
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderCrashesDuringOutageWhileWorkerHangs(int seed) {
-        day(seed, 400, simulation -> {
+        runScenario(seed, 400, simulation -> {
             simulation.store.outage(30);
-            busy(simulation).hang(25);
-            simulation.at(5_000, () -> simulation.crashFor(leader(simulation), 4));
+            busyWorker(simulation).hang(25);
+            simulation.at(5_000, () -> simulation.controllers.crashFor(leader(simulation), 4));
         });
     }
 }
--- a/src/test/java/org/spoolline/simulation/MalformedInputTest.java
+++ b/src/test/java/org/spoolline/simulation/MalformedInputTest.java
@@ -20,16 +20,16 @@
 
 /** Malformed stored values, machine types, heartbeats and peer requests keep no other job from starting. */
 class MalformedInputTest {
-    private static final List<String> ODD_VALUES =
+    private static final List<String> MALFORMED_VALUES =
             List.of("null", "true", "-1", "1e300", "\"odd\"", "[]", "[null]", "{}", "{\"odd\":[1,{}]}");
 
     /** A valid job starts and completes in time in a simulation with malformed input. */
-    private static void otherWorkIsServed(Simulation simulation, String what) {
+    private static void assertOtherJobCompletes(Simulation simulation, String what) {
         simulation.run(3);
-        SimulatedUsers.Job job = simulation.users.submit(Workloads.jobOf(simulation, 0));
+        SimulatedJob job = simulation.users.submit(Workloads.mixedJob(simulation, 0));
         simulation.run(110);
         assertEquals("done", job.status(), what);
-        assertEquals(List.of(), simulation.invariants.broken(), what);
+        assertEquals(List.of(), simulation.invariants.violations(), what);
     }
 
     /** Each field of a stored job in turn is missing or malformed; a leader reads all of these values at once. */
@@ -49,7 +49,7 @@
             }
         }
         assertTrue(count > 300, "only " + count);
-        otherWorkIsServed(simulation, "stored values");
+        assertOtherJobCompletes(simulation, "stored values");
     }
 
     /** Such a value must not fail the scheduling cycle. */
@@ -57,17 +57,17 @@
     void jobStoredUnderAnotherKeyDoesNotBlockOthers() {
         Simulation simulation = new Simulation(9);
         simulation.store.put("job/run-771", Json.read(ProductionForms.bytes("accepted.json")));
-        otherWorkIsServed(simulation, "a value under another name");
+        assertOtherJobCompletes(simulation, "a value under another name");
     }
 
     @Test
     void malformedTerminalRecordsDoNotBlockOthers() {
         Simulation simulation = new Simulation(6);
-        for (int i = 0; i < ODD_VALUES.size(); i++) {
-            simulation.store.put("final/run-88" + i, read(ODD_VALUES.get(i)));
+        for (int i = 0; i < MALFORMED_VALUES.size(); i++) {
+            simulation.store.put("final/run-88" + i, read(MALFORMED_VALUES.get(i)));
         }
         simulation.run(3);
-        for (int i = 0; i < ODD_VALUES.size(); i++) {
+        for (int i = 0; i < MALFORMED_VALUES.size(); i++) {
             ObjectNode dependent =
                     Json.read(ProductionForms.bytes("accepted.json")).deepCopy();
             dependent.put("ver", 3);
@@ -76,7 +76,7 @@
             submission.putArray("waitsOn").add("run-88" + i);
             simulation.store.put("job/run-99" + i, dependent);
         }
-        otherWorkIsServed(simulation, "terminal records");
+        assertOtherJobCompletes(simulation, "terminal records");
     }
 
     @Test
@@ -93,10 +93,10 @@
                 .put("spotPrice", 0.5)
                 .put("startupS", 10);
         proper.putArray("yards").add("a");
-        List<JsonNode> odd = new ArrayList<>(malformedCopies(proper));
-        ODD_VALUES.forEach(value -> odd.add(read(value)));
-        simulation.cloud.oddTypes = odd;
-        otherWorkIsServed(simulation, "machine types");
+        List<JsonNode> malformed = new ArrayList<>(malformedCopies(proper));
+        MALFORMED_VALUES.forEach(value -> malformed.add(read(value)));
+        simulation.cloud.malformedTypes = malformed;
+        assertOtherJobCompletes(simulation, "machine types");
     }
 
     /** Malformed heartbeats and peer requests reach every controller within half a second. */
@@ -109,21 +109,21 @@
         for (JsonNode malformed : malformedCopies(Json.read(heartbeat.getBytes(StandardCharsets.UTF_8)))) {
             simulation.at(100, () -> toAll(simulation, "/checkin", Json.bytes(malformed)));
         }
-        for (String value : ODD_VALUES) {
+        for (String value : MALFORMED_VALUES) {
             simulation.at(200, () -> toAll(simulation, "/status", cbor(value)));
             simulation.at(300, () -> toAll(simulation, "/status", value.getBytes(StandardCharsets.UTF_8)));
             simulation.at(400, () -> toAll(simulation, "/forward", cbor(value)));
             simulation.at(500, () -> toAll(simulation, "/cancelled", cbor(value)));
         }
-        otherWorkIsServed(simulation, "heartbeats and peers");
+        assertOtherJobCompletes(simulation, "heartbeats and peers");
     }
 
     private static void toAll(Simulation simulation, String path, byte[] body) {
         Http.Request request = new Http.Request("POST", path, "", body);
-        for (Simulation.Node node : simulation.nodes.values()) {
+        for (ControllerProcess node : simulation.controllers.processes()) {
             Runnable serve = path.equals("/checkin")
-                    ? () -> node.controller.serve(request, answer -> {})
-                    : () -> node.controller.servePeer(request, answer -> {});
+                    ? () -> node.controller().serve(request, answer -> {})
+                    : () -> node.controller().servePeer(request, answer -> {});
             try {
                 serve.run();
             } catch (RuntimeException e) {
@@ -132,7 +132,9 @@
         }
     }
 
-    /** Copies of the tree with each of its fields, at any depth, left out or replaced by each malformed value in turn. */
+    /**
+     * Copies of the tree with each of its fields, at any depth, left out or replaced by each malformed value in turn.
+     */
     private static List<JsonNode> malformedCopies(JsonNode proper) {
         List<JsonNode> copies = new ArrayList<>();
         collect(proper, proper, List.of(), copies);
@@ -144,9 +146,9 @@
             JsonNode without = root.deepCopy();
             ((ObjectNode) follow(without, path)).remove(field.getKey());
             copies.add(without);
-            for (String odd : ODD_VALUES) {
+            for (String malformed : MALFORMED_VALUES) {
                 JsonNode with = root.deepCopy();
-                ((ObjectNode) follow(with, path)).set(field.getKey(), read(odd));
+                ((ObjectNode) follow(with, path)).set(field.getKey(), read(malformed));
                 copies.add(with);
             }
             List<String> inner = new ArrayList<>(path);
--- /dev/null
+++ b/src/test/java/org/spoolline/simulation/Network.java
@@ -0,0 +1,207 @@
+package org.spoolline.simulation;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import org.spoolline.net.Http;
+
+/**
+ * The links between hosts: random delays, partitions, delayed, lost and duplicated messages, in either direction. Draws
+ * its random numbers from the simulation, so the order of draws is part of a replay.
+ */
+public final class Network {
+    /** All workers, those that boot later too, in place of a host's name. */
+    public static final String WORKERS = "*";
+
+    static final String KEY_VALUE_STORE = "state";
+    static final String CLOUD = "cloud";
+    static final String USERS = "users";
+
+    private static final String HEARTBEAT_PATH = "/checkin";
+    private static final int USUAL_DELAY_MS = 8;
+    private static final int SLOW_DELAY_MS = 400;
+    private static final int RELEASE_DELAY_MS = 20;
+    private static final int MIN_DUPLICATE_DELAY_MS = 1_000;
+
+    /** A request on its way to the address {@code target}, which is {@code host:port}. */
+    record Message(String from, String target, Http.Request request) {
+        String host() {
+            return target.substring(0, target.indexOf(':'));
+        }
+    }
+
+    /** Takes the messages that arrive at any host. */
+    interface Receiver {
+        /**
+         * Answers through {@code reply}, or runs {@code connectionRefused}, or does neither, and the caller times out.
+         */
+        void receive(Message message, Consumer<Http.Response> reply, Runnable connectionRefused);
+    }
+
+    private final EventQueue events;
+    private final SplittableRandom random;
+    private final Receiver receiver;
+    private final Set<String> infrastructure = new HashSet<>(Set.of(KEY_VALUE_STORE, CLOUD, USERS));
+    private final Map<String, LinkState> links = new HashMap<>();
+    private final Map<String, List<Runnable>> delayed = new HashMap<>();
+    private final Set<String> slowHosts = new HashSet<>();
+    private final Set<String> blockedOutbound = new HashSet<>();
+    private final Map<String, Integer> requestsToWorkers = new HashMap<>();
+    private int peakRequestsToWorkers;
+    private long duplicatesUpToMs;
+    private Optional<TraceDigest> digest;
+
+    Network(
+            EventQueue events,
+            SplittableRandom random,
+            Collection<String> controllers,
+            Receiver receiver,
+            Optional<TraceDigest> digest) {
+        this.events = events;
+        this.random = random;
+        this.receiver = receiver;
+        this.digest = digest;
+        infrastructure.addAll(controllers);
+    }
+
+    /** From now on every message is added to this digest. */
+    void traceWith(TraceDigest newDigest) {
+        digest = Optional.of(newDigest);
+    }
+
+    /** Sets the state of the link between two hosts, both ways. */
+    public void setLink(String a, String b, LinkState state) {
+        links.put(link(a, b), state);
+        links.put(link(b, a), state);
+        if (state == LinkState.CONNECTED) {
+            release(link(a, b));
+            release(link(b, a));
+        }
+    }
+
+    /** Sets the state of one direction of a link. */
+    public void setOneWay(String from, String to, LinkState state) {
+        links.put(link(from, to), state);
+        if (state == LinkState.CONNECTED) {
+            release(link(from, to));
+        }
+    }
+
+    /** For so long the host opens no connections, while requests to it still arrive and are answered. */
+    public void blockOutbound(String host, double seconds) {
+        blockedOutbound.add(host);
+        events.at((long) (seconds * 1000), () -> blockedOutbound.remove(host));
+    }
+
+    /** Packets to the host take up to 0.4 s until {@link #restoreSpeed}. */
+    public void slowDown(String host) {
+        slowHosts.add(host);
+    }
+
+    /** Ends {@link #slowDown}. */
+    public void restoreSpeed(String host) {
+        slowHosts.remove(host);
+    }
+
+    /** From now on a duplicate of each heartbeat arrives up to so much later; 0 ends it. */
+    public void duplicateHeartbeats(long upToMs) {
+        duplicatesUpToMs = upToMs;
+    }
+
+    /** The most requests from one host to workers that were open at a time. */
+    int peakRequestsToWorkers() {
+        return peakRequestsToWorkers;
+    }
+
+    /** Sends a request from one host to an address; the reply has status 0 when none came in time. */
+    void call(String from, String target, Http.Request request, long timeoutMs, Consumer<Http.Reply> done) {
+        Consumer<Http.Reply> traced = digest.map(d -> d.sent(events::now, from, target, request, done))
+                .orElse(done);
+        Message message = new Message(from, target, request);
+        OpenRequest open = new OpenRequest(from, isWorker(message.host()), traced);
+        events.at(timeoutMs, () -> open.end(Http.Reply.NONE));
+        if (blockedOutbound.contains(from)) {
+            return;
+        }
+        if (duplicatesUpToMs > 0 && request.path().equals(HEARTBEAT_PATH)) {
+            events.at(
+                    MIN_DUPLICATE_DELAY_MS + random.nextLong(duplicatesUpToMs),
+                    () -> receiver.receive(message, ignored -> {}, () -> {}));
+        }
+        Consumer<Http.Response> reply = response ->
+                deliver(message.host(), from, () -> open.end(new Http.Reply(response.status(), response.body())));
+        deliver(from, message.host(), () -> receiver.receive(message, reply, () -> open.end(Http.Reply.NONE)));
+    }
+
+    /** A request without a reply yet; the first reply or the timeout ends it, and what comes later is dropped. */
+    private final class OpenRequest {
+        private final String from;
+        private final boolean toWorker;
+        private final Consumer<Http.Reply> done;
+        private boolean ended;
+
+        OpenRequest(String from, boolean toWorker, Consumer<Http.Reply> done) {
+            this.from = from;
+            this.toWorker = toWorker;
+            this.done = done;
+            if (toWorker) {
+                peakRequestsToWorkers = Math.max(peakRequestsToWorkers, requestsToWorkers.merge(from, 1, Integer::sum));
+            }
+        }
+
+        void end(Http.Reply reply) {
+            if (ended) {
+                return;
+            }
+            ended = true;
+            if (toWorker) {
+                requestsToWorkers.merge(from, -1, Integer::sum);
+            }
+            done.accept(reply);
+        }
+    }
+
+    private void deliver(String from, String to, Runnable delivery) {
+        switch (stateOf(from, to)) {
+            case LOST -> {}
+                // Delayed packets arrive in order, even if the sender has given up meanwhile.
+            case DELAYED -> delayed.computeIfAbsent(link(from, to), l -> new ArrayList<>())
+                    .add(delivery);
+            case CONNECTED -> events.at(
+                    1 + random.nextInt(slowHosts.contains(to) ? SLOW_DELAY_MS : USUAL_DELAY_MS), delivery);
+        }
+    }
+
+    private void release(String link) {
+        List<Runnable> waiting = delayed.remove(link);
+        if (waiting != null) {
+            for (Runnable delivery : waiting) {
+                events.at(1 + random.nextInt(RELEASE_DELAY_MS), delivery);
+            }
+        }
+    }
+
+    private LinkState stateOf(String from, String to) {
+        LinkState single = links.getOrDefault(link(from, to), LinkState.CONNECTED);
+        if (single != LinkState.CONNECTED) {
+            return single;
+        }
+        String group = link(isWorker(from) ? WORKERS : from, isWorker(to) ? WORKERS : to);
+        return links.getOrDefault(group, LinkState.CONNECTED);
+    }
+
+    private boolean isWorker(String host) {
+        return !infrastructure.contains(host);
+    }
+
+    private static String link(String from, String to) {
+        return from + "|" + to;
+    }
+}
--- a/src/test/java/org/spoolline/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/spoolline/simulation/NetworkPartitionTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.spoolline.simulation.Workloads.NODES;
-import static org.spoolline.simulation.Workloads.busy;
-import static org.spoolline.simulation.Workloads.day;
-import static org.spoolline.simulation.Workloads.jobOf;
+import static org.spoolline.simulation.Workloads.busyWorker;
 import static org.spoolline.simulation.Workloads.leader;
+import static org.spoolline.simulation.Workloads.mixedJob;
+import static org.spoolline.simulation.Workloads.runScenario;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,37 +16,39 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.net.Http;
 
-/** Links between controllers, workers and the key-value store are cut, delayed or lost in one direction. */
+/** Links between controllers, workers and the key-value store lose or delay packets, in one direction or both. */
 class NetworkPartitionTest {
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderAloneLosesKeyValueStore(int seed) {
-        day(seed, 300, simulation -> {
+        runScenario(seed, 300, simulation -> {
             String leader = leader(simulation);
-            simulation.cut(leader, "state", Simulation.Cut.LOSE);
-            simulation.at(30_000, () -> simulation.cut(leader, "state", Simulation.Cut.NONE));
+            simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.LOST);
+            simulation.at(
+                    30_000, () -> simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.CONNECTED));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderPacketsToKeyValueStoreAreDelayed(int seed) {
-        day(seed, 300, simulation -> {
+        runScenario(seed, 300, simulation -> {
             String leader = leader(simulation);
-            simulation.cut(leader, "state", Simulation.Cut.HOLD);
-            simulation.at(25_000, () -> simulation.cut(leader, "state", Simulation.Cut.NONE));
+            simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.DELAYED);
+            simulation.at(
+                    25_000, () -> simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.CONNECTED));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderReachesOnlyWorkers(int seed) {
-        day(seed, 300, simulation -> {
+        runScenario(seed, 300, simulation -> {
             String leader = leader(simulation);
-            for (String other : List.of("node-0", "node-1", "node-2", "state", "cloud")) {
+            for (String other : List.of("node-0", "node-1", "node-2", Network.KEY_VALUE_STORE, Network.CLOUD)) {
                 if (!other.equals(leader)) {
-                    simulation.cut(leader, other, Simulation.Cut.HOLD);
-                    simulation.at(40_000, () -> simulation.cut(leader, other, Simulation.Cut.NONE));
+                    simulation.network.setLink(leader, other, LinkState.DELAYED);
+                    simulation.at(40_000, () -> simulation.network.setLink(leader, other, LinkState.CONNECTED));
                 }
             }
         });
@@ -56,41 +58,43 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderWithoutWorkersStepsDown(int seed) {
-        day(seed, 300, simulation -> {
-            String deaf = leader(simulation);
+        runScenario(seed, 300, simulation -> {
+            String oldLeader = leader(simulation);
             // Machines that boot meanwhile are partitioned too: a leader that receives any heartbeat stays leader.
-            simulation.cut(Simulation.WORKERS, deaf, Simulation.Cut.LOSE);
-            simulation.at(14_000, () -> assertFalse(deaf.equals(simulation.leader())));
-            simulation.at(40_000, () -> simulation.cut(Simulation.WORKERS, deaf, Simulation.Cut.NONE));
+            simulation.network.setLink(Network.WORKERS, oldLeader, LinkState.LOST);
+            simulation.at(14_000, () -> assertFalse(oldLeader.equals(simulation.leader())));
+            simulation.at(40_000, () -> simulation.network.setLink(Network.WORKERS, oldLeader, LinkState.CONNECTED));
         });
     }
 
-    /** Heartbeats alone must not keep such a machine in use: its tasks would be placed there again at each lease expiry. */
+    /**
+     * Heartbeats alone must not keep such a machine in use: its tasks would be placed there again at each lease expiry.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void machineWithUnreachableDownlinkIsScaledIn(int seed) {
-        day(seed, 400, simulation -> {
-            FakeWorker worker = busy(simulation);
-            simulation.cutOneWay("node-0", worker.name, Simulation.Cut.LOSE);
-            simulation.cutOneWay("node-1", worker.name, Simulation.Cut.LOSE);
-            simulation.cutOneWay("node-2", worker.name, Simulation.Cut.LOSE);
+        runScenario(seed, 400, simulation -> {
+            FakeWorker worker = busyWorker(simulation);
+            simulation.network.setOneWay("node-0", worker.name, LinkState.LOST);
+            simulation.network.setOneWay("node-1", worker.name, LinkState.LOST);
+            simulation.network.setOneWay("node-2", worker.name, LinkState.LOST);
             // Launches that the machine did not receive move to others after one lease.
-            simulation.at(45_000, () -> simulation.users.submit(jobOf(simulation, 0)));
+            simulation.at(45_000, () -> simulation.users.submit(mixedJob(simulation, 0)));
             simulation.at(
                     240_000,
                     () -> assertTrue(
-                            worker.dead(), "expected the machine with the unreachable downlink to be scaled in"));
+                            worker.isDown(), "expected the machine with the unreachable downlink to be scaled in"));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void machineIsUsedAgainAfterUnreachableDownlink(int seed) {
-        day(seed, 300, simulation -> {
-            FakeWorker worker = busy(simulation);
+        runScenario(seed, 300, simulation -> {
+            FakeWorker worker = busyWorker(simulation);
             for (String node : NODES) {
-                simulation.cutOneWay(node, worker.name, Simulation.Cut.HOLD);
-                simulation.at(30_000, () -> simulation.cutOneWay(node, worker.name, Simulation.Cut.NONE));
+                simulation.network.setOneWay(node, worker.name, LinkState.DELAYED);
+                simulation.at(30_000, () -> simulation.network.setOneWay(node, worker.name, LinkState.CONNECTED));
             }
         });
     }
@@ -104,49 +108,49 @@
         simulation.users.submit(simulation.users.job("blue", "batch", 6, 1, 200));
         simulation.run(37);
         String old = leader(simulation);
-        for (String other : List.of("node-0", "node-1", "node-2", "state")) {
+        for (String other : List.of("node-0", "node-1", "node-2", Network.KEY_VALUE_STORE)) {
             if (!other.equals(old)) {
-                simulation.cut(old, other, Simulation.Cut.LOSE);
+                simulation.network.setLink(old, other, LinkState.LOST);
             }
         }
         // The isolated leader may answer them for about 24 s.
         simulation.run(19);
         assertFalse(old.equals(simulation.leader()));
         for (FakeWorker worker : simulation.workers().values()) {
-            assertTrue(worker.dead() || !worker.reportsTo().equals(old), "seed " + seed + ": " + worker.name);
+            assertTrue(worker.isDown() || !worker.heartbeatTarget().equals(old), "seed " + seed + ": " + worker.name);
         }
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void unreachableDownlinkWithDuplicatedHeartbeatsAndIsolatedLeader(int seed) {
-        day(seed, 500, simulation -> {
-            simulation.copyReports(30_000);
-            FakeWorker worker = busy(simulation);
+        runScenario(seed, 500, simulation -> {
+            simulation.network.duplicateHeartbeats(30_000);
+            FakeWorker worker = busyWorker(simulation);
             String old = leader(simulation);
             for (String node : NODES) {
-                simulation.cutOneWay(node, worker.name, Simulation.Cut.LOSE);
+                simulation.network.setOneWay(node, worker.name, LinkState.LOST);
                 if (!node.equals(old)) {
-                    simulation.cut(old, node, Simulation.Cut.HOLD);
-                    simulation.at(40_000, () -> simulation.cut(old, node, Simulation.Cut.NONE));
+                    simulation.network.setLink(old, node, LinkState.DELAYED);
+                    simulation.at(40_000, () -> simulation.network.setLink(old, node, LinkState.CONNECTED));
                 }
             }
-            simulation.cut(old, "state", Simulation.Cut.HOLD);
-            simulation.at(40_000, () -> simulation.cut(old, "state", Simulation.Cut.NONE));
-            simulation.at(100_000, () -> simulation.copyReports(0));
+            simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.DELAYED);
+            simulation.at(40_000, () -> simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.CONNECTED));
+            simulation.at(100_000, () -> simulation.network.duplicateHeartbeats(0));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workerIsPartitionedAndItsHeartbeatsArriveLate(int seed) {
-        day(seed, 300, simulation -> {
-            FakeWorker worker = busy(simulation);
+        runScenario(seed, 300, simulation -> {
+            FakeWorker worker = busyWorker(simulation);
             for (int i = 0; i < 3; i++) {
                 String node = "node-" + i;
-                simulation.cut(worker.name, node, Simulation.Cut.HOLD);
-                simulation.at(25_000, () -> simulation.cut(worker.name, node, Simulation.Cut.NONE));
+                simulation.network.setLink(worker.name, node, LinkState.DELAYED);
+                simulation.at(25_000, () -> simulation.network.setLink(worker.name, node, LinkState.CONNECTED));
             }
         });
     }
@@ -156,17 +160,17 @@
     void cancelledJobEndsOnUnreachableMachines(int seed) {
         Simulation simulation = new Simulation(seed);
         simulation.run(3);
-        SimulatedUsers.Job job = simulation.users.submit(simulation.users.job("blue", "batch", 4, 2, 300));
+        SimulatedJob job = simulation.users.submit(simulation.users.job("blue", "batch", 4, 2, 300));
         simulation.run(40);
         simulation.workers().values().forEach(w -> {
             for (int i = 0; i < 3; i++) {
-                simulation.cut(w.name, "node-" + i, Simulation.Cut.LOSE);
+                simulation.network.setLink(w.name, "node-" + i, LinkState.LOST);
             }
         });
         simulation.users.cancel(job);
         simulation.run(120);
         assertEquals("aborted", job.status());
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
 
     /** A controller that alone can't reach the key-value store forwards requests to one that can. */
@@ -174,10 +178,10 @@
     void controllerWithoutKeyValueStoreForwardsRequests() {
         Simulation simulation = new Simulation(2);
         simulation.run(8);
-        simulation.cut("node-1", "state", Simulation.Cut.LOSE);
+        simulation.network.setLink("node-1", Network.KEY_VALUE_STORE, LinkState.LOST);
         simulation.run(10);
         List<Integer> statuses = new ArrayList<>();
-        simulation.call(
+        simulation.network.call(
                 "users",
                 "node-1:1",
                 new Http.Request("GET", "/submissions/run-000042", "", new byte[0]),
--- a/src/test/java/org/spoolline/simulation/RollingUpgradeTest.java
+++ b/src/test/java/org/spoolline/simulation/RollingUpgradeTest.java
@@ -18,28 +18,28 @@
     @MethodSource(Seeds.EACH)
     void dependentJobsAreAcceptedOnceAllControllersAreUpgraded(int seed) {
         Simulation simulation = new Simulation(seed);
-        NODES.forEach(simulation::startOlder);
+        NODES.forEach(simulation.controllers::startOlderVersion);
         simulation.run(5);
         for (int n = 0; n < 4; n++) {
-            simulation.users.submit(Workloads.jobOf(simulation, n));
+            simulation.users.submit(Workloads.mixedJob(simulation, n));
         }
         for (int i = 0; i < 3; i++) {
             String node = NODES.get(i);
-            simulation.at(5_000 + i * 10_000L, () -> simulation.upgrade(node, 4));
+            simulation.at(5_000 + i * 10_000L, () -> simulation.controllers.upgrade(node, 4));
         }
         // A process that crashes before its upgrade restarts with the older version.
-        simulation.at(8_000, () -> simulation.crashFor(NODES.get(2), 1));
-        simulation.at(20_000, () -> simulation.crashFor(NODES.get(0), 1));
+        simulation.at(8_000, () -> simulation.controllers.crashFor(NODES.get(2), 1));
+        simulation.at(20_000, () -> simulation.controllers.crashFor(NODES.get(0), 1));
         simulation.run(22);
-        SimulatedUsers.Job root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 10));
+        SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 10));
         simulation.run(1);
-        SimulatedUsers.Job early = simulation.users.submit(
-                simulation.users.job("blue", "batch", 1, 1, 5).after(root));
+        SimulatedJob early = simulation.users.submit(
+                simulation.users.job("blue", "batch", 1, 1, 5).dependingOn(root));
         simulation.run(5);
         assertFalse(early.accepted(), "seed " + seed);
         simulation.run(120);
         assertEquals("done", early.status(), "seed " + seed);
-        Workloads.everyJobIsDone(simulation, seed);
+        Workloads.assertEveryJobDone(simulation, seed);
     }
 
     /** Both versions serve, faults occur, and leadership passes between the versions in both directions. */
@@ -47,20 +47,23 @@
     @MethodSource(Seeds.EACH)
     void jobsCompleteDespiteFaultsDuringRollingUpgrade(int seed) {
         Simulation simulation = new Simulation(seed);
-        NODES.forEach(simulation::startOlder);
+        NODES.forEach(simulation.controllers::startOlderVersion);
         for (int i = 0; i < 12; i++) {
             int n = i;
-            simulation.at(3_000 + i * 5_000L, () -> simulation.users.submit(Workloads.jobOf(simulation, n)));
+            simulation.at(3_000 + i * 5_000L, () -> simulation.users.submit(Workloads.mixedJob(simulation, n)));
         }
         simulation.run(30);
         for (int i = 0; i < 3; i++) {
             String node = NODES.get(i);
-            simulation.at(i * 12_000L, () -> simulation.upgrade(node, 4));
+            simulation.at(i * 12_000L, () -> simulation.controllers.upgrade(node, 4));
         }
-        simulation.at(6_000, () -> simulation.crashFor(leader(simulation), 0.3));
-        simulation.at(15_000, () -> simulation.cutOneWay(leader(simulation), "state", Simulation.Cut.LOSE));
+        simulation.at(6_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
+        simulation.at(
+                15_000,
+                () -> simulation.network.setOneWay(leader(simulation), Network.KEY_VALUE_STORE, LinkState.LOST));
         for (String node : NODES) {
-            simulation.at(27_000, () -> simulation.cutOneWay(node, "state", Simulation.Cut.NONE));
+            simulation.at(
+                    27_000, () -> simulation.network.setOneWay(node, Network.KEY_VALUE_STORE, LinkState.CONNECTED));
         }
         simulation.at(18_000, () -> simulation.users.jobs().forEach(job -> {
             if (job.accepted() && job.tasks() == 12 && !job.status().equals("done")) {
@@ -68,22 +71,22 @@
             }
         }));
         simulation.at(28_000, () -> simulation.store.outage(20));
-        simulation.at(30_000, () -> simulation.crashFor(leader(simulation), 2));
+        simulation.at(30_000, () -> simulation.controllers.crashFor(leader(simulation), 2));
         simulation.run(55);
-        List<DependencyChain> lines = new ArrayList<>();
+        List<DependencyChain> chains = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            lines.add(new DependencyChain(simulation).submit());
+            chains.add(new DependencyChain(simulation).submit());
             simulation.run(12);
         }
-        simulation.crashFor(leader(simulation), 3);
-        simulation.users.cancel(lines.get(0).check);
-        simulation.at(20_000, simulation.invariants::troublesAreOver);
+        simulation.controllers.crashFor(leader(simulation), 3);
+        simulation.users.cancel(chains.get(0).check);
+        simulation.at(20_000, simulation.invariants::faultsEnded);
         simulation.run(250);
-        simulation.invariants.dayIsOver();
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        for (SimulatedUsers.Job job : simulation.users.jobs()) {
+        simulation.invariants.checkAtEnd();
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
+        for (SimulatedJob job : simulation.users.jobs()) {
             assertTrue(List.of("done", "aborted").contains(job.status()), "seed " + seed + ": " + job.jobId());
         }
-        assertEquals("done", lines.get(1).deliver.status(), "seed " + seed);
+        assertEquals("done", chains.get(1).deliver.status(), "seed " + seed);
     }
 }
--- /dev/null
+++ b/src/test/java/org/spoolline/simulation/ServiceLevelChecker.java
@@ -0,0 +1,144 @@
+package org.spoolline.simulation;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/** The service levels that the users state: once faults have ended, jobs are answered about, started and completed. */
+final class ServiceLevelChecker {
+    private static final long MAX_WAIT_DESPITE_CAPACITY_MS = 90_000;
+    private static final long MAX_UNANSWERED_MS = 75_000;
+    private static final long MAX_START_OF_LARGEST_MS = 240_000;
+    private static final double ROUNDING = 1e-6;
+
+    private final Simulation simulation;
+    private final InvariantChecker invariants;
+    private final Map<String, Long> waitingDespiteCapacitySince = new HashMap<>();
+    private final Set<String> unanswered = new HashSet<>();
+
+    ServiceLevelChecker(Simulation simulation, InvariantChecker invariants) {
+        this.simulation = simulation;
+        this.invariants = invariants;
+    }
+
+    /** From now on every job must be answered about, and must not wait beside free capacity. */
+    void faultsEnded() {
+        checkEverySecond(simulation.now());
+    }
+
+    private void checkEverySecond(long faultsEndedAt) {
+        for (SimulatedJob job : simulation.users.jobs()) {
+            if (job.accepted()
+                    && simulation.now() - Math.max(faultsEndedAt, job.lastAnsweredAt()) > MAX_UNANSWERED_MS
+                    && unanswered.add(job.jobId())) {
+                invariants.violation("forgotten", "nobody answers about " + job.jobId());
+            }
+            if (!waitsDespiteCapacity(job)) {
+                waitingDespiteCapacitySince.remove(job.jobId());
+            } else if (simulation.now()
+                            - waitingDespiteCapacitySince.computeIfAbsent(job.jobId(), id -> simulation.now())
+                    == MAX_WAIT_DESPITE_CAPACITY_MS) {
+                invariants.violation("left_waiting", job.jobId() + " waits beside machines with capacity");
+            }
+        }
+        simulation.at(1_000, () -> checkEverySecond(faultsEndedAt));
+    }
+
+    /** True when no machine has a task of the job although it fits free machines and its team's quota. */
+    private boolean waitsDespiteCapacity(SimulatedJob job) {
+        if (!mustBeServed(job)
+                || invariants.isComplete(job.jobId())
+                || invariants.startableAt(job) > simulation.now()
+                || hasLiveTask(job)) {
+            return false;
+        }
+        Map<String, Integer> tasksThatFit = new HashMap<>();
+        for (FakeWorker worker : simulation.workers().values()) {
+            if (worker.isSchedulable() && worker.fits(job)) {
+                tasksThatFit.merge(
+                        job.requiresOneZone() ? worker.zone : "any",
+                        (int) (worker.freeCores() / job.cores() + ROUNDING),
+                        Integer::sum);
+            }
+        }
+        int needed = job.isGang() ? job.tasks() : 1;
+        return tasksThatFit.values().stream().anyMatch(fit -> fit >= needed)
+                && coresInUse(job.team()) + needed * job.cores() <= invariants.quotaCores(job) + ROUNDING;
+    }
+
+    private boolean mustBeServed(SimulatedJob job) {
+        return job.accepted()
+                && !job.cancelRequested()
+                && !invariants.isCancelledWithDependencies(job)
+                && !job.failsEverywhere();
+    }
+
+    private boolean hasLiveTask(SimulatedJob job) {
+        for (FakeWorker worker : simulation.workers().values()) {
+            for (SimulatedTask task : worker.tasks()) {
+                if (task.isAlive() && task.jobId().equals(job.jobId())) {
+                    return true;
+                }
+            }
+        }
+        return false;
+    }
+
+    private double coresInUse(String team) {
+        double used = 0;
+        for (FakeWorker worker : simulation.workers().values()) {
+            for (SimulatedTask task : worker.tasks()) {
+                SimulatedJob job = simulation.users.job(task.jobId());
+                used += task.isAlive() && job.team().equals(team) ? job.cores() : 0;
+            }
+        }
+        return used;
+    }
+
+    /** Checks that most polls were answered, and that at least half of each group of jobs was served. */
+    void checkAtEnd() {
+        if (simulation.users.unansweredPolls() * 2 > simulation.users.polls()) {
+            invariants.violation(
+                    "mostly_unanswered",
+                    simulation.users.unansweredPolls() + " of " + simulation.users.polls() + " polls");
+        }
+        Map<String, Integer> largestOfClass = new HashMap<>();
+        simulation.users.jobs().forEach(job -> largestOfClass.merge(job.jobClass(), job.tasks(), Math::max));
+        Map<String, List<SimulatedJob>> groups = new TreeMap<>();
+        for (SimulatedJob job : simulation.users.jobs()) {
+            if (!mustBeServed(job)) {
+                continue;
+            }
+            addTo(groups, "class " + job.jobClass(), job);
+            addTo(groups, "team " + job.team(), job);
+            if (job.tasks() == largestOfClass.get(job.jobClass())) {
+                addTo(groups, "largest of " + job.jobClass(), job);
+                checkStartOfLargest(job);
+            }
+        }
+        groups.forEach(this::checkGroup);
+    }
+
+    private static void addTo(Map<String, List<SimulatedJob>> groups, String group, SimulatedJob job) {
+        groups.computeIfAbsent(group, g -> new ArrayList<>()).add(job);
+    }
+
+    private void checkStartOfLargest(SimulatedJob job) {
+        long waitedMs = invariants.firstStartOrNow(job) - invariants.startableAt(job);
+        if (waitedMs > MAX_START_OF_LARGEST_MS) {
+            invariants.violation("begun_late", job.jobId() + ", a largest of " + job.jobClass());
+        }
+    }
+
+    private void checkGroup(String group, List<SimulatedJob> jobs) {
+        long served =
+                jobs.stream().filter(job -> invariants.isComplete(job.jobId())).count();
+        if (served * 2 < jobs.size()) {
+            invariants.violation("unserved", group + ": " + served + " of " + jobs.size());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/spoolline/simulation/SimulatedGangs.java
@@ -0,0 +1,74 @@
+package org.spoolline.simulation;
+
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+import org.spoolline.simulation.SimulatedTask.ExitCause;
+import org.spoolline.simulation.SimulatedTask.Phase;
+
+/** How the members of a gang find one another, run together, and fail together. */
+final class SimulatedGangs {
+    private static final long GANG_WAIT_MS = 30_000;
+    private static final long MEMBER_LOSS_CHECK_MS = 500;
+    private static final long MEMBER_LOSS_NOTICED_MS = 2_000;
+
+    private final Simulation simulation;
+    /** Members that have pulled their image, by job and attempt. */
+    private final Map<String, Set<SimulatedTask>> membersByAttempt = new HashMap<>();
+
+    SimulatedGangs(Simulation simulation) {
+        this.simulation = simulation;
+    }
+
+    /** A member has its image; the gang runs once all members of its attempt do. */
+    void imagePulled(SimulatedTask task) {
+        Set<SimulatedTask> members = members(task);
+        members.add(task);
+        members.removeIf(member -> !member.isAlive());
+        SimulatedJob job = simulation.users.job(task.jobId());
+        if (members.size() == job.tasks()) {
+            for (SimulatedTask member : members) {
+                member.enter(Phase.RUNNING);
+                member.worker().statusChanged();
+            }
+            task.worker().runFor(task, job.gangRunMs());
+            checkMembers(task);
+        } else {
+            simulation.at(GANG_WAIT_MS, () -> {
+                if (task.phase() == Phase.WAITING_FOR_GANG) {
+                    task.exit(ExitCause.GANG_INCOMPLETE);
+                }
+            });
+        }
+    }
+
+    private void checkMembers(SimulatedTask any) {
+        Set<SimulatedTask> members = members(any);
+        if (members.stream().allMatch(SimulatedTask::isAlive)) {
+            simulation.at(MEMBER_LOSS_CHECK_MS, () -> checkMembers(any));
+            return;
+        }
+        if (members.stream()
+                .anyMatch(member ->
+                        member.cause().filter(ExitCause.COMPLETED::equals).isPresent())) {
+            return;
+        }
+        simulation.at(MEMBER_LOSS_NOTICED_MS, () -> members.forEach(member -> member.exit(ExitCause.GANG_MEMBER_LOST)));
+    }
+
+    /** The member that runs for the gang has finished: all members complete, unless one was lost. */
+    void complete(SimulatedTask task) {
+        Set<SimulatedTask> members = members(task);
+        if (!members.stream().allMatch(SimulatedTask::isAlive)) {
+            return;
+        }
+        members.forEach(simulation.invariants::taskCompleted);
+        members.forEach(member -> member.exit(ExitCause.COMPLETED));
+        simulation.users.taskCompleted(task);
+    }
+
+    private Set<SimulatedTask> members(SimulatedTask task) {
+        return membersByAttempt.computeIfAbsent(task.jobId() + "#" + task.attempt(), k -> new LinkedHashSet<>());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/spoolline/simulation/SimulatedSettings.java
@@ -0,0 +1,94 @@
+package org.spoolline.simulation;
+
+import java.util.Collection;
+import org.spoolline.config.Settings;
+import org.spoolline.config.SettingsException;
+import org.spoolline.config.SettingsFile;
+
+/** The settings file of each controller: two teams, and limits that the scenario scales or announces. */
+final class SimulatedSettings {
+    private final int teamScale;
+    private final int storeRequestsPerS;
+    /** Limits of the key-value store that the settings announce, as TOML. */
+    private String announcedLimits = "";
+
+    /** Quotas and guarantees of the teams are {@code teamScale} times the usual ones. */
+    SimulatedSettings(int teamScale, int storeRequestsPerS) {
+        this.teamScale = teamScale;
+        this.storeRequestsPerS = storeRequestsPerS;
+    }
+
+    void announceLimits(int valueBytes, int txnOps, int writesPerS) {
+        announcedLimits = "[cluster.state.next]\nvalue_kb = " + valueBytes / 1024.0 + "\ntxn_ops = " + txnOps
+                + "\nwrite_rps = " + writesPerS + ".0\n";
+    }
+
+    /** The settings with which one of the controllers starts now. */
+    Settings of(ControllerProcess process, Collection<ControllerProcess> all) {
+        StringBuilder toml = new StringBuilder();
+        toml.append("node_name = \"")
+                .append(process.name())
+                .append("\"\ndomain = \"a\"\nserve_on = \"")
+                .append(process.address())
+                .append("\"\ninternal_addr = \"")
+                .append(process.internalAddress())
+                .append("\"\n");
+        for (ControllerProcess other : all) {
+            if (other != process) {
+                toml.append("[[seeds]]\nnode_name = \"")
+                        .append(other.name())
+                        .append("\"\ndomain = \"a\"\nendpoint = \"")
+                        .append(other.internalAddress())
+                        .append("\"\n");
+            }
+        }
+        toml.append(cluster());
+        try {
+            return SettingsFile.parse(toml.toString());
+        } catch (SettingsException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private String cluster() {
+        return """
+                [services]
+                cloud = "cloud:1"
+                state = "state:1"
+                [cluster]
+                count = 3
+                [[cluster.teams]]
+                name = "blue"
+                cpus = %1$d.0
+                cpus_max = %2$d.0
+                gpus = 0.0
+                gpus_max = 0.0
+                [[cluster.teams]]
+                name = "red"
+                cpus = %3$d.0
+                cpus_max = %1$d.0
+                gpus = 0.0
+                gpus_max = 0.0
+                [cluster.workers]
+                report_s = 3.0
+                lease_s = 16.0
+                gang_wait_s = 30.0
+                gang_peer_s = 5.0
+                cancel_s = 46.0
+                [cluster.state]
+                rps = %4$d.0
+                write_rps = 60.0
+                value_kb = 8.0
+                txn_ops = 12
+                %5$s
+                [cluster.cloud]
+                rps = 10.0
+                list_lag_s = 6.0
+                [cluster.quota]
+                cpu_share = 0.2
+                ram_mb = 200.0
+                sockets = 1000
+                """
+                .formatted(32 * teamScale, 64 * teamScale, 16 * teamScale, storeRequestsPerS, announcedLimits);
+    }
+}
--- a/src/test/java/org/spoolline/simulation/SimulationTest.java
+++ b/src/test/java/org/spoolline/simulation/SimulationTest.java
@@ -1,8 +1,8 @@
 package org.spoolline.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.spoolline.simulation.Workloads.jobOf;
 import static org.spoolline.simulation.Workloads.leader;
+import static org.spoolline.simulation.Workloads.mixedJob;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,9 +18,9 @@
             Simulation simulation = new Simulation(9);
             simulation.run(3);
             for (int n = 0; n < 6; n++) {
-                simulation.users.submit(jobOf(simulation, n));
+                simulation.users.submit(mixedJob(simulation, n));
             }
-            simulation.at(20_000, () -> simulation.crashFor(leader(simulation), 3));
+            simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 3));
             simulation.run(90);
             days.add(simulation.invariants.starts() + " " + simulation.store.value("token") + " "
                     + simulation.workers().keySet() + " " + simulation.random.nextLong());
--- a/src/test/java/org/spoolline/simulation/StaleLeaderTest.java
+++ b/src/test/java/org/spoolline/simulation/StaleLeaderTest.java
@@ -17,12 +17,12 @@
  */
 class StaleLeaderTest {
     /** Long-running jobs and their leader. */
-    private static final class Scene {
+    private static final class LongJobs {
         final Simulation simulation;
-        final List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        final List<SimulatedJob> jobs = new ArrayList<>();
         final String leader;
 
-        Scene(int seed) {
+        LongJobs(int seed) {
             simulation = new Simulation(seed);
             simulation.run(3);
             for (int i = 0; i < 6; i++) {
@@ -34,10 +34,10 @@
             assertTrue(running() > 0, "expected running tasks");
         }
 
-        private Stream<FakeWorker.Task> runningTasks() {
+        private Stream<SimulatedTask> runningTasks() {
             return simulation.workers().values().stream()
                     .flatMap(w -> w.tasks().stream())
-                    .filter(t -> t.phase.equals("running"));
+                    .filter(t -> t.phase() == SimulatedTask.Phase.RUNNING);
         }
 
         long running() {
@@ -46,7 +46,7 @@
 
         long confirmedRunning() {
             return runningTasks()
-                    .filter(t -> simulation.users.job(t.jobId).status().equals("aborted"))
+                    .filter(t -> simulation.users.job(t.jobId()).status().equals("aborted"))
                     .count();
         }
 
@@ -64,52 +64,57 @@
     }
 
     /** Injects faults and runs on: every cancellation is confirmed and no invariant is violated. */
-    private static void play(int seed, double seconds, BiConsumer<Scene, Simulation> troubles) {
-        Scene scene = new Scene(seed);
-        troubles.accept(scene, scene.simulation);
-        scene.simulation.run(seconds);
-        assertEquals(List.of(), scene.simulation.invariants.broken(), "seed " + seed);
-        assertEquals(scene.jobs.size(), scene.confirmed(), "seed " + seed);
+    private static void runScenario(int seed, double seconds, BiConsumer<LongJobs, Simulation> faults) {
+        LongJobs longJobs = new LongJobs(seed);
+        faults.accept(longJobs, longJobs.simulation);
+        longJobs.simulation.run(seconds);
+        assertEquals(List.of(), longJobs.simulation.invariants.violations(), "seed " + seed);
+        assertEquals(longJobs.jobs.size(), longJobs.confirmed(), "seed " + seed);
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void storeRejectsLeaderThenAllBeyondCancelBound(int seed) {
-        gap(seed, false);
+        runWithLeaderRejected(seed, LinkState.LOST);
     }
 
-    /** A leader that learns of the cancellation from a peer ends the tasks without reading it from the key-value store. */
+    /**
+     * A leader that learns of the cancellation from a peer ends the tasks without reading it from the key-value store.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void leaderReachedByPeersEndsTasksDuringOutage(int seed) {
-        gap(seed, true);
+        runWithLeaderRejected(seed, LinkState.CONNECTED);
     }
 
-    private static void gap(int seed, boolean peersTalk) {
-        play(seed, 160, (scene, simulation) -> {
-            for (String node : simulation.nodes.keySet()) {
-                if (!peersTalk && !node.equals(scene.leader)) {
-                    simulation.cut(node, scene.leader, Simulation.Cut.LOSE);
+    /** The store rejects the leader and then all; cancellations arrive in between. */
+    private static void runWithLeaderRejected(int seed, LinkState peersToLeader) {
+        boolean peersReachLeader = peersToLeader == LinkState.CONNECTED;
+        runScenario(seed, 160, (longJobs, simulation) -> {
+            for (String node : simulation.controllers.names()) {
+                if (!node.equals(longJobs.leader)) {
+                    simulation.network.setLink(node, longJobs.leader, peersToLeader);
                 }
             }
-            simulation.store.refuse(scene.leader, 14);
-            simulation.at(200, scene::cancelAll);
+            simulation.store.rejectHost(longJobs.leader, 14);
+            simulation.at(200, longJobs::cancelAll);
             simulation.at(2_600, () -> {
-                scene.assertSomeConfirmed();
-                assertTrue(peersTalk || scene.running() > 0, "expected tasks to run on");
+                longJobs.assertSomeConfirmed();
+                assertTrue(peersReachLeader || longJobs.running() > 0, "expected tasks to run on");
                 simulation.store.outage(65);
             });
             simulation.at(
                     9_000,
                     () -> assertEquals(
-                            peersTalk,
-                            scene.confirmedRunning() == 0,
+                            peersReachLeader,
+                            longJobs.confirmedRunning() == 0,
                             "whether no task of a confirmed cancellation runs"));
             simulation.at(
                     10_000,
                     () -> assertTrue(
                             simulation.workers().values().stream()
-                                    .anyMatch(w -> !w.dead() && w.reportsTo().equals(scene.leader)),
+                                    .anyMatch(w ->
+                                            !w.isDown() && w.heartbeatTarget().equals(longJobs.leader)),
                             "expected a worker whose heartbeats still go to the old leader"));
         });
     }
@@ -118,12 +123,12 @@
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void renewalsSucceedWhileWatchesAreLostThenOutage(int seed) {
-        play(seed, 170, (scene, simulation) -> {
-            simulation.store.loseWatches(scene.leader, 90);
-            simulation.at(2_000, scene::cancelAll);
+        runScenario(seed, 170, (longJobs, simulation) -> {
+            simulation.store.loseWatchResponses(longJobs.leader, 90);
+            simulation.at(2_000, longJobs::cancelAll);
             // By then the confirmation is old; only the leadership renewals are recent.
             simulation.at(20_000, () -> {
-                scene.assertSomeConfirmed();
+                longJobs.assertSomeConfirmed();
                 simulation.store.outage(65);
             });
         });
@@ -133,16 +138,16 @@
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void repeatedOutagesWithRenewalsBetween(int seed) {
-        play(seed, 200, (scene, simulation) -> {
-            simulation.store.loseWatches(scene.leader, 120);
-            simulation.at(300, scene::cancelAll);
+        runScenario(seed, 200, (longJobs, simulation) -> {
+            simulation.store.loseWatchResponses(longJobs.leader, 120);
+            simulation.at(300, longJobs::cancelAll);
             for (int i = 0; i < 6; i++) {
                 simulation.at(2_500 + i * 17_000L, () -> {
-                    simulation.store.refuse(scene.leader, 2);
+                    simulation.store.rejectHost(longJobs.leader, 2);
                     simulation.at(1_500, () -> simulation.store.outage(14));
                 });
             }
-            simulation.at(2_500, scene::assertSomeConfirmed);
+            simulation.at(2_500, longJobs::assertSomeConfirmed);
         });
     }
 
@@ -150,13 +155,13 @@
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void successiveLeadersCannotListJobs(int seed) {
-        play(seed, 220, (scene, simulation) -> {
-            simulation.store.refuseListings(100);
-            simulation.crashFor(scene.leader, 0.3);
-            simulation.at(100, scene::cancelAll);
-            simulation.at(6_000, scene::assertSomeConfirmed);
+        runScenario(seed, 220, (longJobs, simulation) -> {
+            simulation.store.dropListings(100);
+            simulation.controllers.crashFor(longJobs.leader, 0.3);
+            simulation.at(100, longJobs::cancelAll);
+            simulation.at(6_000, longJobs::assertSomeConfirmed);
             for (int i = 1; i <= 10; i++) {
-                simulation.at(i * 9_000L, () -> simulation.crashFor(Workloads.leader(simulation), 0.3));
+                simulation.at(i * 9_000L, () -> simulation.controllers.crashFor(Workloads.leader(simulation), 0.3));
             }
         });
     }
--- a/src/test/java/org/spoolline/simulation/StallTest.java
+++ b/src/test/java/org/spoolline/simulation/StallTest.java
@@ -15,7 +15,9 @@
 
 /** The status that operators read when no task starts, and the bound after which tasks start again. */
 class StallTest {
-    /** Seconds after the last fault until waiting jobs start: an election, a boot, an image pull and a rejected offer. */
+    /**
+     * Seconds after the last fault until waiting jobs start: an election, a boot, an image pull and a rejected offer.
+     */
     private static final double STARTS_WITHIN_S = 75;
 
     /** When no task starts, the status says why. */
@@ -24,7 +26,7 @@
         Simulation simulation = new Simulation(3);
         simulation.cloud.capacity = 0;
         simulation.run(5);
-        simulation.users.submit(Workloads.jobOf(simulation, 0));
+        simulation.users.submit(Workloads.mixedJob(simulation, 0));
         simulation.run(60);
         JsonNode status = counters(simulation, Workloads.leader(simulation));
         assertTrue(status.path("leads").asBoolean(), status.toString());
@@ -37,7 +39,7 @@
     void servingLeaderIsNotStalledAndCountsLaunches() {
         Simulation simulation = new Simulation(4);
         simulation.run(5);
-        simulation.users.submit(Workloads.jobOf(simulation, 0));
+        simulation.users.submit(Workloads.mixedJob(simulation, 0));
         simulation.run(60);
         JsonNode status = counters(simulation, Workloads.leader(simulation));
         assertTrue(status.path("stalled").isNull(), status.toString());
@@ -50,51 +52,60 @@
     @MethodSource(Seeds.THREE_TIMES_AS_MANY)
     void tasksStartInBoundedTimeAfterEarlyFaults(int seed) {
         Simulation simulation = new Simulation(seed);
-        double calmFromS = troubleFromTheStart(simulation, seed);
+        double lastFaultEndsS = injectEarlyFaults(simulation, seed);
         for (int n = 0; n < 4; n++) {
             int job = n;
-            simulation.at(500 + n * 3_000L, () -> simulation.users.submit(Workloads.jobOf(simulation, job)));
+            simulation.at(500 + n * 3_000L, () -> simulation.users.submit(Workloads.mixedJob(simulation, job)));
         }
-        simulation.run(calmFromS);
+        simulation.run(lastFaultEndsS);
         long startsBefore = simulation.invariants.starts();
         // Users may have given up earlier submissions; this one is made without faults.
-        simulation.users.submit(Workloads.jobOf(simulation, 0));
+        simulation.users.submit(Workloads.mixedJob(simulation, 0));
         simulation.run(STARTS_WITHIN_S);
         assertTrue(simulation.invariants.starts() > startsBefore, "seed " + seed + ": expected a task to start");
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
 
     /** Outages, crashes and partitions from the first moment; returns the second at which the last one ends. */
-    private static double troubleFromTheStart(Simulation simulation, int seed) {
-        List<String> nodes = List.of("node-0", "node-1", "node-2");
+    private static double injectEarlyFaults(Simulation simulation, int seed) {
+        List<String> nodes = Workloads.NODES;
         switch (seed % 6) {
             case 0 -> simulation.store.outage(40);
             case 1 -> {
                 for (int crash = 0; crash < 5; crash++) {
-                    simulation.at(crash * 8_000L, () -> nodes.forEach(node -> simulation.crashFor(node, 0.3)));
+                    simulation.at(
+                            crash * 8_000L, () -> nodes.forEach(node -> simulation.controllers.crashFor(node, 0.3)));
                 }
             }
             case 2 -> {
-                nodes.forEach(node -> simulation.cut(node, "cloud", Simulation.Cut.LOSE));
-                simulation.at(40_000, () -> nodes.forEach(node -> simulation.cut(node, "cloud", Simulation.Cut.NONE)));
+                nodes.forEach(node -> simulation.network.setLink(node, Network.CLOUD, LinkState.LOST));
+                simulation.at(
+                        40_000,
+                        () -> nodes.forEach(
+                                node -> simulation.network.setLink(node, Network.CLOUD, LinkState.CONNECTED)));
             }
             case 3 -> {
-                simulation.cut("node-0", "state", Simulation.Cut.LOSE);
-                simulation.cut("node-1", "state", Simulation.Cut.HOLD);
-                simulation.at(40_000, () -> simulation.cut("node-0", "state", Simulation.Cut.NONE));
-                simulation.at(40_000, () -> simulation.cut("node-1", "state", Simulation.Cut.NONE));
+                simulation.network.setLink("node-0", Network.KEY_VALUE_STORE, LinkState.LOST);
+                simulation.network.setLink("node-1", Network.KEY_VALUE_STORE, LinkState.DELAYED);
+                simulation.at(
+                        40_000,
+                        () -> simulation.network.setLink("node-0", Network.KEY_VALUE_STORE, LinkState.CONNECTED));
+                simulation.at(
+                        40_000,
+                        () -> simulation.network.setLink("node-1", Network.KEY_VALUE_STORE, LinkState.CONNECTED));
             }
             case 4 -> {
-                nodes.forEach(node -> simulation.cut(Simulation.WORKERS, node, Simulation.Cut.LOSE));
+                nodes.forEach(node -> simulation.network.setLink(Network.WORKERS, node, LinkState.LOST));
                 simulation.at(
                         40_000,
-                        () -> nodes.forEach(node -> simulation.cut(Simulation.WORKERS, node, Simulation.Cut.NONE)));
+                        () -> nodes.forEach(
+                                node -> simulation.network.setLink(Network.WORKERS, node, LinkState.CONNECTED)));
             }
             default -> {
                 simulation.store.outage(10);
-                simulation.at(12_000, () -> nodes.forEach(node -> simulation.crashFor(node, 4)));
+                simulation.at(12_000, () -> nodes.forEach(node -> simulation.controllers.crashFor(node, 4)));
                 simulation.at(18_000, () -> simulation.store.outage(20));
-                simulation.at(39_000, () -> simulation.crashFor(Workloads.leader(simulation), 1));
+                simulation.at(39_000, () -> simulation.controllers.crashFor(Workloads.leader(simulation), 1));
             }
         }
         return 40;
@@ -103,7 +114,7 @@
     private static JsonNode counters(Simulation simulation, String node) {
         List<Http.Response> answers = new ArrayList<>();
         Http.Request request = new Http.Request("GET", Controller.COUNTERS, "", new byte[0]);
-        simulation.nodes.get(node).controller.servePeer(request, answers::add);
+        simulation.controllers.controller(node).servePeer(request, answers::add);
         assertEquals(200, answers.get(0).status());
         return Json.read(answers.get(0).body());
     }
--- a/src/test/java/org/spoolline/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/spoolline/simulation/StoreLimitsTest.java
@@ -18,40 +18,42 @@
     @MethodSource(Seeds.EACH)
     void limitsAreLoweredWhileStagesComplete(int seed) {
         Simulation simulation = new Simulation(seed, 8);
-        simulation.announceLimits(2_048, 4, 28);
+        simulation.controllers.announceLimits(2_048, 4, 28);
         simulation.run(3);
-        SimulatedUsers.Job wide = simulation.users.submit(simulation.users.job("blue", "batch", 900, 0.5, 40));
-        List<DependencyChain> lines = new ArrayList<>();
+        SimulatedJob wide = simulation.users.submit(simulation.users.job("blue", "batch", 900, 0.5, 40));
+        List<DependencyChain> chains = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            simulation.at(5_000 + i * 6_000L, () -> lines.add(new DependencyChain(simulation).submit()));
+            simulation.at(5_000 + i * 6_000L, () -> chains.add(new DependencyChain(simulation).submit()));
         }
         simulation.run(25);
         simulation.store.lowerLimits(2_048, 4);
-        simulation.at(5_000, () -> simulation.users.cancel(lines.get(0).merge));
-        simulation.at(12_000, () -> simulation.crashFor(leader(simulation), 4));
-        simulation.at(60_000, simulation.invariants::troublesAreOver);
+        simulation.at(5_000, () -> simulation.users.cancel(chains.get(0).merge));
+        simulation.at(12_000, () -> simulation.controllers.crashFor(leader(simulation), 4));
+        simulation.at(60_000, simulation.invariants::faultsEnded);
         simulation.run(420);
-        simulation.invariants.dayIsOver();
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        simulation.invariants.checkAtEnd();
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         assertEquals("done", wide.status(), "seed " + seed);
-        assertEquals("aborted", lines.get(0).deliver.status(), "seed " + seed);
-        assertEquals("done", lines.get(2).deliver.status(), "seed " + seed);
+        assertEquals("aborted", chains.get(0).deliver.status(), "seed " + seed);
+        assertEquals("done", chains.get(2).deliver.status(), "seed " + seed);
         // Each controller may discover the limit once, with one further batch in flight.
-        assertTrue(simulation.store.overLimit <= 12, "seed " + seed + ": " + simulation.store.overLimit + " refused");
+        assertTrue(
+                simulation.store.oversizedCommits() <= 12,
+                "seed " + seed + ": " + simulation.store.oversizedCommits() + " refused");
     }
 
     /** Starts with a stored production value that is twice as large as the limits after the upgrade. */
-    private static SimulatedUsers.Job submitOversizedJob(Simulation simulation) {
+    private static SimulatedJob submitOversizedJob(Simulation simulation) {
         for (int i = 0; i < 6; i++) {
             simulation.users.job("blue", "batch", 1, 1, 5);
         }
-        SimulatedUsers.Job wide = simulation.users.job("blue", "batch", 1_800, 0.5, 30);
+        SimulatedJob wide = simulation.users.job("blue", "batch", 1_800, 0.5, 30);
         for (int task = 0; task < 1_500; task += 7) {
-            simulation.invariants.completedBefore(wide.jobId(), task);
+            simulation.invariants.taskCompletedBefore(wide.jobId(), task);
         }
         simulation.cloud.capacity = 40;
         simulation.store.put("job/" + wide.jobId(), Json.read(ProductionForms.bytes("wide.json")));
-        simulation.announceLimits(2_048, 4, 28);
+        simulation.controllers.announceLimits(2_048, 4, 28);
         simulation.store.lowerLimits(2_048, 4);
         simulation.run(2);
         simulation.users.submit(wide);
@@ -64,14 +66,16 @@
     @MethodSource(Seeds.EACH)
     void oversizedValueIsWrittenOnceItFits(int seed) {
         Simulation simulation = new Simulation(seed, 16);
-        SimulatedUsers.Job wide = submitOversizedJob(simulation);
-        SimulatedUsers.Job other = simulation.users.submit(simulation.users.job("red", "batch", 4, 1, 5));
+        SimulatedJob wide = submitOversizedJob(simulation);
+        SimulatedJob other = simulation.users.submit(simulation.users.job("red", "batch", 4, 1, 5));
         simulation.run(40);
         assertEquals("done", other.status(), "seed " + seed);
         simulation.run(300);
         assertEquals("done", wide.status(), "seed " + seed);
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        assertTrue(simulation.store.overLimit <= 4, "seed " + seed + ": " + simulation.store.overLimit + " refused");
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
+        assertTrue(
+                simulation.store.oversizedCommits() <= 4,
+                "seed " + seed + ": " + simulation.store.oversizedCommits() + " refused");
     }
 
     /** Placements that filled the present limit could not be written any more once it is lowered. */
@@ -80,24 +84,24 @@
     void placementsStayUnderAnnouncedLimits(int seed) {
         Simulation simulation = new Simulation(seed, 16);
         simulation.cloud.capacity = 40;
-        simulation.announceLimits(900, 4, 28);
+        simulation.controllers.announceLimits(900, 4, 28);
         simulation.run(3);
-        SimulatedUsers.Job wide = simulation.users.submit(
-                simulation.users.job("blue", "batch", 1_500, 0.5, 30).endingApart(10));
+        SimulatedJob wide = simulation.users.submit(
+                simulation.users.job("blue", "batch", 1_500, 0.5, 30).withRunTimeStepMs(10));
         simulation.run(30);
         int bytes = Json.bytes(simulation.store.value("job/" + wide.jobId())).length;
         assertTrue(bytes > 500 && bytes <= 900, "seed " + seed + ": " + bytes + " bytes");
         simulation.store.lowerLimits(900, 4);
         simulation.run(400);
         assertEquals("done", wide.status(), "seed " + seed);
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void jobWithOversizedValueIsCancelled(int seed) {
         Simulation simulation = new Simulation(seed, 16);
-        SimulatedUsers.Job wide = submitOversizedJob(simulation);
+        SimulatedJob wide = submitOversizedJob(simulation);
         simulation.users.cancel(wide);
         simulation.run(8);
         assertEquals("aborted", wide.status(), "seed " + seed);
@@ -105,7 +109,7 @@
                 1_285,
                 simulation.store.value("job/" + wide.jobId()).path("unlisted").asInt());
         // Until its attempts have terminated they count against the team's quota of 1,024 cores.
-        SimulatedUsers.Job next = simulation.users.submit(simulation.users.job("blue", "batch", 1_600, 0.5, 200));
+        SimulatedJob next = simulation.users.submit(simulation.users.job("blue", "batch", 1_600, 0.5, 200));
         simulation.run(20);
         int placed = Pipeline.decode(simulation.store.value("job/" + next.jobId()))
                 .attempts()
@@ -116,6 +120,6 @@
                 "aborted",
                 simulation.store.value("final/" + wide.jobId()).path("end").asText());
         assertEquals("aborted", wide.status(), "seed " + seed);
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
 }
--- a/src/test/java/org/spoolline/simulation/TraceDigest.java
+++ b/src/test/java/org/spoolline/simulation/TraceDigest.java
@@ -13,26 +13,27 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.spoolline.net.Http;
 
 /**
  * A hash of every message between the processes of one {@link Simulation}: for a request the simulated time, sender, target,
- * method, path, query and body; for its reply the simulated time at which the caller hears it, status and body. A
- * timeout counts as a reply with status 0, and a reply that comes after it does not count, since no caller hears it.
+ * method, path, query and body; for its reply the simulated time at which the caller receives it, status and body. A
+ * timeout counts as a reply with status 0, and a reply after it does not count, since no caller receives it.
  *
  * <h2>Use</h2>
  *
  * It is off unless the system property {@code trace.digest} names a file. That file is written when the JVM ends, with
- * one line for each world, sorted:
+ * one line for each simulation, sorted:
  *
  * <pre>{@code
- * org.spoolline.simulation.LeaderAloneRefusedTest#aTest seed=1 world=1 messages=1234 0123456789abcdef0123456789abcdef
+ * org.spoolline.simulation.StaleLeaderTest#aTest seed=1 simulation=1 messages=1234 0123456789abcdef0123456789abcdef
  * }</pre>
  *
- * {@code world} counts the worlds that a test method created with the same seed, from 1. To see whether two runs, or the
- * same tests before and after a change that should change no message, sent the same:
+ * {@code simulation} counts the simulations that a test method created with the same seed, from 1. To see whether two
+ * runs, or the same tests before and after a change that should change no message, sent the same:
  *
  * <pre>{@code
  * mvn test -Dtest='org.spoolline.simulation.*Test' -Dtrace.digest=target/before.txt
@@ -40,7 +41,7 @@
  * diff target/before.txt target/after.txt
  * }</pre>
  *
- * {@code -Dscenario.seeds=N} asks for more seeds, see {@link Workloads}. The file is overwritten, so two test JVMs at a time
+ * {@code -Dscenario.seeds=N} asks for more seeds, see {@link Seeds}. The file is overwritten, so two test JVMs at a time
  * need two names. It is a tool for comparison; no digest is kept in the repository, since most changes of the program
  * change some message.
  */
@@ -48,7 +49,7 @@
     private static final String FILE = System.getProperty("trace.digest", "");
     private static final String PACKAGES = "org.spoolline.";
     private static final String NO_TEST = "no test";
-    /** All worlds of this JVM while the digest is on. */
+    /** All simulations of this JVM while the digest is on. */
     private static final List<TraceDigest> ALL = new ArrayList<>();
 
     private static final Map<String, Integer> ORDINALS = new HashMap<>();
@@ -59,25 +60,25 @@
         }
     }
 
-    private final String world;
+    private final String label;
     private final Hasher hasher = Hashing.murmur3_128().newHasher();
     private long messages;
 
-    /** {@code world} is what the line says before the number of messages. */
-    TraceDigest(String world) {
-        this.world = world;
+    /** {@code label} is what the line says before the number of messages. */
+    TraceDigest(String label) {
+        this.label = label;
     }
 
-    /** The digest of a new world, or null when none is asked for. */
-    static TraceDigest ofNewWorld(long seed) {
+    /** The digest of a new simulation, if any is asked for. */
+    static Optional<TraceDigest> ofNewSimulation(long seed) {
         if (!isOn()) {
-            return null;
+            return Optional.empty();
         }
         synchronized (ALL) {
             String key = testOnStack() + " seed=" + seed;
-            TraceDigest digest = new TraceDigest(key + " world=" + ORDINALS.merge(key, 1, Integer::sum));
+            TraceDigest digest = new TraceDigest(key + " simulation=" + ORDINALS.merge(key, 1, Integer::sum));
             ALL.add(digest);
-            return digest;
+            return Optional.of(digest);
         }
     }
 
@@ -98,7 +99,7 @@
         return name.startsWith(PACKAGES) && (name.endsWith("Test") || name.contains("Test$"));
     }
 
-    /** Takes in a request; the consumer returned takes in its reply and hands it on to {@code done}. */
+    /** Adds a request; the consumer returned adds its reply and passes it on to {@code done}. */
     synchronized Consumer<Http.Reply> sent(
             LongSupplier now, String from, String target, Http.Request request, Consumer<Http.Reply> done) {
         long number = ++messages;
@@ -110,12 +111,12 @@
         text(request.query());
         bytes(request.body());
         return reply -> {
-            heard(number, now.getAsLong(), reply);
+            received(number, now.getAsLong(), reply);
             done.accept(reply);
         };
     }
 
-    private synchronized void heard(long number, long now, Http.Reply reply) {
+    private synchronized void received(long number, long now, Http.Reply reply) {
         hasher.putChar('R').putLong(number).putLong(now).putInt(reply.status());
         bytes(reply.body());
     }
@@ -129,9 +130,9 @@
         bytes(value.getBytes(UTF_8));
     }
 
-    /** The world's line; nothing can be taken in after it. */
+    /** The simulation's line; nothing can be added after it. */
     synchronized String line() {
-        return world + " messages=" + messages + " " + hasher.hash();
+        return label + " messages=" + messages + " " + hasher.hash();
     }
 
     private static void write() {
--- a/src/test/java/org/spoolline/simulation/TraceDigestTest.java
+++ b/src/test/java/org/spoolline/simulation/TraceDigestTest.java
@@ -12,29 +12,31 @@
 import org.junit.jupiter.api.Test;
 import org.spoolline.net.Http;
 
+/** The digest covers every part of every message and names the test. */
 class TraceDigestTest {
     private static final Http.Request REQUEST = new Http.Request("POST", "/p", "", "body".getBytes(UTF_8));
     private static final Http.Reply REPLY = new Http.Reply(200, "answer".getBytes(UTF_8));
 
-    /** The line of one request sent at 5 ms and its reply heard at a given time. */
-    private static String line(String from, String target, Http.Request request, long heardAt, Http.Reply reply) {
+    /** The line of one request sent at 5 ms and its reply received at a given time. */
+    private static String line(String from, String target, Http.Request request, long receivedAt, Http.Reply reply) {
         TraceDigest digest = new TraceDigest("w");
         long[] now = {5};
-        Consumer<Http.Reply> heard = digest.sent(() -> now[0], from, target, request, r -> {});
-        now[0] = heardAt;
-        heard.accept(reply);
+        Consumer<Http.Reply> received = digest.sent(() -> now[0], from, target, request, r -> {});
+        now[0] = receivedAt;
+        received.accept(reply);
         return digest.line();
     }
 
-    private static String lineOfADay(long seed) {
+    private static String lineOfScenario(long seed) {
         Simulation simulation = new Simulation(seed);
-        simulation.digest = new TraceDigest("w");
+        TraceDigest digest = new TraceDigest("w");
+        simulation.network.traceWith(digest);
         for (int i = 0; i < 4; i++) {
             int n = i;
-            simulation.at(3_000 + i * 5_000L, () -> simulation.users.submit(Workloads.jobOf(simulation, n)));
+            simulation.at(3_000 + i * 5_000L, () -> simulation.users.submit(Workloads.mixedJob(simulation, n)));
         }
         simulation.run(60);
-        return simulation.digest.line();
+        return digest.line();
     }
 
     @Test
@@ -58,15 +60,15 @@
 
     @Test
     void callerReceivesTheReply() {
-        List<Http.Reply> heard = new ArrayList<>();
-        new TraceDigest("w").sent(() -> 0, "a", "b:1", REQUEST, heard::add).accept(REPLY);
-        assertEquals(List.of(REPLY), heard);
+        List<Http.Reply> received = new ArrayList<>();
+        new TraceDigest("w").sent(() -> 0, "a", "b:1", REQUEST, received::add).accept(REPLY);
+        assertEquals(List.of(REPLY), received);
     }
 
     @Test
     void sameSeedSendsTheSameMessages() {
-        assertEquals(lineOfADay(1), lineOfADay(1));
-        assertNotEquals(lineOfADay(1), lineOfADay(2));
+        assertEquals(lineOfScenario(1), lineOfScenario(1));
+        assertNotEquals(lineOfScenario(1), lineOfScenario(2));
     }
 
     @Test
