--- a/src/test/java/org/spoolline/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/WorkerFaultsTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.spoolline.simulation.Workloads.busy;
-import static org.spoolline.simulation.Workloads.day;
+import static org.spoolline.simulation.Workloads.busyWorker;
 import static org.spoolline.simulation.Workloads.leader;
+import static org.spoolline.simulation.Workloads.runScenario;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,18 +16,18 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workersLosePower(int seed) {
-        day(seed, 260, simulation -> {
-            busy(simulation).die();
-            simulation.at(10_000, () -> busy(simulation).die());
+        runScenario(seed, 260, simulation -> {
+            busyWorker(simulation).losePower();
+            simulation.at(10_000, () -> busyWorker(simulation).losePower());
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workerHangsWithinAndBeyondItsLease(int seed) {
-        day(seed, 300, simulation -> {
-            busy(simulation).hang(9);
-            simulation.at(12_000, () -> busy(simulation).hang(40));
+        runScenario(seed, 300, simulation -> {
+            busyWorker(simulation).hang(9);
+            simulation.at(12_000, () -> busyWorker(simulation).hang(40));
         });
     }
 
@@ -35,24 +35,24 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void duplicatedHeartbeatsArriveLate(int seed) {
-        day(seed, 400, simulation -> {
-            simulation.copyReports(45_000);
-            simulation.at(15_000, () -> busy(simulation).die());
-            simulation.at(30_000, () -> simulation.crashFor(leader(simulation), 4));
-            simulation.at(60_000, () -> simulation.cloud.take(busy(simulation).name));
-            simulation.at(75_000, () -> simulation.crashFor(leader(simulation), 0.3));
-            simulation.at(110_000, () -> simulation.copyReports(0));
+        runScenario(seed, 400, simulation -> {
+            simulation.network.duplicateHeartbeats(45_000);
+            simulation.at(15_000, () -> busyWorker(simulation).losePower());
+            simulation.at(30_000, () -> simulation.controllers.crashFor(leader(simulation), 4));
+            simulation.at(60_000, () -> simulation.cloud.remove(busyWorker(simulation).name));
+            simulation.at(75_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
+            simulation.at(110_000, () -> simulation.network.duplicateHeartbeats(0));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void duplicatedHeartbeatsOfHangingWorkerArriveAfterItsLease(int seed) {
-        day(seed, 400, simulation -> {
-            simulation.copyReports(30_000);
-            busy(simulation).hang(25);
-            simulation.at(40_000, () -> busy(simulation).hang(9));
-            simulation.at(90_000, () -> simulation.copyReports(0));
+        runScenario(seed, 400, simulation -> {
+            simulation.network.duplicateHeartbeats(30_000);
+            busyWorker(simulation).hang(25);
+            simulation.at(40_000, () -> busyWorker(simulation).hang(9));
+            simulation.at(90_000, () -> simulation.network.duplicateHeartbeats(0));
         });
     }
 
@@ -60,36 +60,36 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workersRestartWithinAFractionOfASecond(int seed) {
-        day(seed, 400, simulation -> {
-            simulation.copyReports(30_000);
+        runScenario(seed, 400, simulation -> {
+            simulation.network.duplicateHeartbeats(30_000);
             for (int i = 0; i < 6; i++) {
-                simulation.at(i * 9_000L, () -> busy(simulation).dieAndBeBack(0.3));
+                simulation.at(i * 9_000L, () -> busyWorker(simulation).restartAfter(0.3));
             }
-            simulation.at(20_000, () -> simulation.crashFor(leader(simulation), 0.3));
-            simulation.at(20_200, () -> busy(simulation).dieAndBeBack(0.1));
-            simulation.at(90_000, () -> simulation.copyReports(0));
+            simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
+            simulation.at(20_200, () -> busyWorker(simulation).restartAfter(0.1));
+            simulation.at(90_000, () -> simulation.network.duplicateHeartbeats(0));
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workerFailsEveryTask(int seed) {
-        day(seed, 300, simulation -> busy(simulation).sick = true);
+        runScenario(seed, 300, simulation -> busyWorker(simulation).failsEveryTask = true);
     }
 
     @Test
     void jobThatFailsEverywhereTakesNoMachineDown() {
         Simulation simulation = new Simulation(7);
         simulation.run(3);
-        SimulatedUsers.Job bad = simulation.users.submit(
-                simulation.users.job("red", "batch", 3, 1, 5).faulty());
-        SimulatedUsers.Job good = simulation.users.submit(simulation.users.job("blue", "batch", 8, 1, 10));
+        SimulatedJob bad = simulation.users.submit(
+                simulation.users.job("red", "batch", 3, 1, 5).failingEverywhere());
+        SimulatedJob good = simulation.users.submit(simulation.users.job("blue", "batch", 8, 1, 10));
         simulation.run(120);
         assertEquals("done", good.status());
         assertFalse(List.of("done", "aborted").contains(bad.status()));
         simulation.users.cancel(bad);
         simulation.run(60);
         assertEquals("aborted", bad.status());
-        assertEquals(List.of(), simulation.invariants.broken());
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 }
--- /dev/null
+++ b/src/test/java/org/spoolline/simulation/WorkerTasks.java
@@ -0,0 +1,163 @@
+package org.spoolline.simulation;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.spoolline.simulation.SimulatedTask.ExitCause;
+import org.spoolline.simulation.SimulatedTask.Phase;
+
+/** The attempts on one worker: launch, image pull, run, kill and clear. */
+final class WorkerTasks {
+    private static final long CACHED_IMAGE_MS = 50;
+    private static final long PROGRESS_STEP_MS = 200;
+
+    private final Simulation simulation;
+    private final FakeWorker worker;
+    /** By task id and attempt, in order of launch. */
+    private final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
+
+    private final Set<String> cachedImages = new HashSet<>();
+
+    WorkerTasks(Simulation simulation, FakeWorker worker) {
+        this.simulation = simulation;
+        this.worker = worker;
+    }
+
+    /** A copy, in order of launch. */
+    List<SimulatedTask> list() {
+        return new ArrayList<>(tasks.values());
+    }
+
+    /** Cores that live attempts hold, those that still pull their image too. */
+    double usedCores() {
+        return tasks.values().stream()
+                .filter(SimulatedTask::isAlive)
+                .mapToDouble(task -> jobOf(task).cores())
+                .sum();
+    }
+
+    /** Ends all attempts and forgets them. */
+    void loseAll() {
+        tasks.values().forEach(SimulatedTask::lose);
+        tasks.clear();
+    }
+
+    /** Adds the status of each attempt to a heartbeat. */
+    void writeStatus(ArrayNode slips) {
+        for (SimulatedTask task : tasks.values()) {
+            ObjectNode slip = slips.addObject()
+                    .put("slip", task.taskId())
+                    .put("try", task.attempt())
+                    .put("status", task.phase().wireName());
+            task.cause().ifPresent(cause -> slip.put("cause", cause.wireName()).put("kept", task.checkpointSaved()));
+        }
+    }
+
+    /** Carries out one command of the leader; repeating it changes nothing. */
+    void carryOut(JsonNode order) {
+        String taskId = order.path("slip").asText();
+        long attempt = order.path("try").asLong();
+        String id = taskId + "#" + attempt;
+        SimulatedTask known = tasks.get(id);
+        switch (order.path("verb").asText()) {
+            case "launch" -> {
+                if (known == null) {
+                    launch(id, new SimulatedTask(simulation.invariants, worker, taskId, attempt));
+                }
+            }
+            case "kill" -> {
+                if (known != null && known.isAlive()) {
+                    known.kill(order.path("windDownS").asDouble() >= 1
+                            && jobOf(known).savesCheckpoints());
+                }
+            }
+            case "clear" -> {
+                if (known != null && !known.isAlive()) {
+                    tasks.remove(id);
+                }
+            }
+            default -> throw new AssertionError(order);
+        }
+    }
+
+    private void launch(String id, SimulatedTask task) {
+        Optional<ExitCause> rejection = rejection(task);
+        tasks.put(id, task);
+        if (rejection.isPresent()) {
+            task.exit(rejection.get());
+            return;
+        }
+        worker.statusChanged();
+        simulation.invariants.launchReceived(task);
+        String image = jobOf(task).image();
+        long pullMs = cachedImages.contains(image) ? CACHED_IMAGE_MS : simulation.users.imagePullMs(task.jobId());
+        simulation.at(pullMs, () -> imagePulled(task, image));
+    }
+
+    /** Why the worker does not launch a task that is not among its tasks yet, if so. */
+    private Optional<ExitCause> rejection(SimulatedTask task) {
+        if (!simulation.users.hasSubmitted(task.jobId())) {
+            return Optional.of(ExitCause.JOB_UNKNOWN);
+        }
+        double used = 0;
+        for (SimulatedTask other : tasks.values()) {
+            if (other.isAlive()) {
+                used += jobOf(other).cores();
+                if (other.taskId().equals(task.taskId())) {
+                    return Optional.of(ExitCause.ALREADY_RUNNING);
+                }
+            }
+        }
+        return used + jobOf(task).cores() > worker.cores() ? Optional.of(ExitCause.NO_CAPACITY) : Optional.empty();
+    }
+
+    private void imagePulled(SimulatedTask task, String image) {
+        if (worker.isDown() || !task.isAlive() || !tasks.containsValue(task)) {
+            return;
+        }
+        cachedImages.add(image);
+        simulation.invariants.taskStarted(task);
+        SimulatedJob job = jobOf(task);
+        if (worker.failsEveryTask || job.failsEverywhere()) {
+            task.enter(Phase.RUNNING);
+            task.exit(ExitCause.FAILED);
+        } else if (job.isGang()) {
+            task.enter(Phase.WAITING_FOR_GANG);
+            simulation.users.gangs().imagePulled(task);
+        } else {
+            task.enter(Phase.RUNNING);
+            runFor(task, job.runMs(task.index()));
+        }
+        worker.statusChanged();
+    }
+
+    /** Completes the task after its time, unless it ends before; a hanging worker makes no progress. */
+    void runFor(SimulatedTask task, long leftMs) {
+        simulation.at(PROGRESS_STEP_MS, () -> {
+            if (worker.isDown() || !task.isAlive()) {
+                return;
+            }
+            long rest = worker.isHanging() ? leftMs : leftMs - PROGRESS_STEP_MS;
+            if (rest > 0) {
+                runFor(task, rest);
+            } else if (jobOf(task).isGang()) {
+                simulation.users.gangs().complete(task);
+            } else {
+                simulation.invariants.taskCompleted(task);
+                task.exit(ExitCause.COMPLETED);
+                simulation.users.taskCompleted(task);
+            }
+        });
+    }
+
+    private SimulatedJob jobOf(SimulatedTask task) {
+        return simulation.users.job(task.jobId());
+    }
+}
--- a/src/test/java/org/spoolline/simulation/WorkloadTest.java
+++ b/src/test/java/org/spoolline/simulation/WorkloadTest.java
@@ -1,10 +1,10 @@
 package org.spoolline.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.spoolline.simulation.Workloads.day;
-import static org.spoolline.simulation.Workloads.everyJobIsDone;
-import static org.spoolline.simulation.Workloads.jobOf;
+import static org.spoolline.simulation.Workloads.assertEveryJobDone;
 import static org.spoolline.simulation.Workloads.leader;
+import static org.spoolline.simulation.Workloads.mixedJob;
+import static org.spoolline.simulation.Workloads.runScenario;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,15 +16,15 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void mixedLoadCompletesWithoutFaults(int seed) {
-        day(seed, 200, simulation -> {});
+        runScenario(seed, 200, simulation -> {});
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void burstOfSubmissionsCompletes(int seed) {
-        day(seed, 400, simulation -> {
+        runScenario(seed, 400, simulation -> {
             for (int i = 0; i < 24; i++) {
-                simulation.users.submit(jobOf(simulation, i));
+                simulation.users.submit(mixedJob(simulation, i));
             }
         });
     }
@@ -32,9 +32,9 @@
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void jobsWithWrongRuntimeEstimatesComplete(int seed) {
-        day(seed, 300, simulation -> {
+        runScenario(seed, 300, simulation -> {
             for (int i = 0; i < 8; i++) {
-                simulation.users.submit(jobOf(simulation, i).with("expectS", i % 2 == 0 ? 0.5 : 900.0));
+                simulation.users.submit(mixedJob(simulation, i).with("expectS", i % 2 == 0 ? 0.5 : 900.0));
             }
         });
     }
@@ -77,9 +77,9 @@
                         .with("lane", "limit")
                         .with("samePlace", false)));
         simulation.run(280);
-        simulation.invariants.troublesAreOver();
+        simulation.invariants.faultsEnded();
         simulation.run(150);
-        everyJobIsDone(simulation, seed);
+        assertEveryJobDone(simulation, seed);
     }
 
     /**
@@ -91,7 +91,7 @@
     void gangsStartDespiteUnevenImagePulls(int seed) {
         Simulation simulation = new Simulation(seed, 4);
         simulation.run(3);
-        List<SimulatedUsers.Job> gangs = new ArrayList<>();
+        List<SimulatedJob> gangs = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             gangs.add(simulation.users.submit(simulation
                     .users
@@ -106,10 +106,10 @@
                     20_000 + i * 5_000L,
                     () -> simulation.users.submit(simulation.users.job("blue", "batch", 8, 4, 15)));
         }
-        simulation.at(60_000, () -> simulation.crashFor(leader(simulation), 5));
+        simulation.at(60_000, () -> simulation.controllers.crashFor(leader(simulation), 5));
         simulation.run(300);
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        for (SimulatedUsers.Job gang : gangs) {
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
+        for (SimulatedJob gang : gangs) {
             assertEquals("done", gang.status(), "seed " + seed + ": " + gang.jobId());
         }
     }
@@ -145,10 +145,10 @@
                     .with("urgency", "urgent"));
         });
         simulation.run(330);
-        simulation.invariants.dayIsOver();
+        simulation.invariants.checkAtEnd();
         assertEquals(
                 List.of(),
-                simulation.invariants.broken().stream()
+                simulation.invariants.violations().stream()
                         .filter(b -> !b.contains("unserved"))
                         .toList(),
                 "seed " + seed);
--- a/src/test/java/org/spoolline/simulation/Workloads.java
+++ b/src/test/java/org/spoolline/simulation/Workloads.java
@@ -6,52 +6,54 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the stories share: a mixed load, its machines and its leader. */
+/** Workloads and checks that the scenarios share. */
 final class Workloads {
     private Workloads() {}
 
     /** The controllers' names. */
     static final List<String> NODES = List.of("node-0", "node-1", "node-2");
 
-    /** Seconds without trouble at the end of each day. */
-    static final double CALM_S = 150;
+    /** Seconds without a fault at the end of each scenario. */
+    static final double RECOVERY_S = 150;
 
-    interface Trouble {
-        void strike(Simulation simulation);
+    /** Injects faults into a running simulation. */
+    interface Fault {
+        void inject(Simulation simulation);
     }
 
-    /** A mixed load, trouble at 40 s, and enough time to recover; every job must end and no rule may break. */
-    static void day(int seed, double seconds, Trouble trouble) {
+    /** Runs a mixed load with a fault at 40 s and time to recover: every job ends and no invariant is violated. */
+    static void runScenario(int seed, double seconds, Fault fault) {
         Simulation simulation = new Simulation(seed);
-        List<SimulatedUsers.Job> jobs = new ArrayList<>();
+        List<SimulatedJob> jobs = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             int n = i;
-            simulation.at(3_000 + i * 5_000L, () -> jobs.add(simulation.users.submit(jobOf(simulation, n))));
+            simulation.at(3_000 + i * 5_000L, () -> jobs.add(simulation.users.submit(mixedJob(simulation, n))));
         }
         simulation.run(40);
-        trouble.strike(simulation);
-        simulation.at((long) (1_000 * Math.max(0, seconds - CALM_S)), simulation.invariants::troublesAreOver);
+        fault.inject(simulation);
+        simulation.at((long) (1_000 * Math.max(0, seconds - RECOVERY_S)), simulation.invariants::faultsEnded);
         simulation.run(seconds);
-        simulation.invariants.dayIsOver();
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        for (SimulatedUsers.Job job : jobs) {
+        simulation.invariants.checkAtEnd();
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
+        for (SimulatedJob job : jobs) {
             assertTrue(
                     job.status().equals("done") || job.status().equals("aborted"),
                     "seed " + seed + ": " + job.jobId() + " is " + job.status());
         }
-        assertTrue(simulation.invariants.starts() > 0);
+        assertTrue(simulation.invariants.starts() > 0, "seed " + seed + ": expected tasks to start");
     }
 
-    /** The end of a day on which nobody cancels. */
-    static void everyJobIsDone(Simulation simulation, int seed) {
-        simulation.invariants.dayIsOver();
-        assertEquals(List.of(), simulation.invariants.broken(), "seed " + seed);
-        for (SimulatedUsers.Job job : simulation.users.jobs()) {
+    /** The end of a scenario in which nobody cancels: no invariant is violated and every job is done. */
+    static void assertEveryJobDone(Simulation simulation, int seed) {
+        simulation.invariants.checkAtEnd();
+        assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
+        for (SimulatedJob job : simulation.users.jobs()) {
             assertEquals("done", job.status(), "seed " + seed + ": " + job.jobId());
         }
     }
 
-    static SimulatedUsers.Job jobOf(Simulation simulation, int n) {
+    /** The n-th job of the mixed load, which is not submitted yet. */
+    static SimulatedJob mixedJob(Simulation simulation, int n) {
         return switch (n % 4) {
             case 0 -> simulation.users.job("blue", "batch", 12, 1, 15);
             case 1 -> simulation.users.job("red", "group", 2, 7, 20).with("samePlace", true);
@@ -64,13 +66,15 @@
         };
     }
 
+    /** The leader's name, or the first controller's while there is none. */
     static String leader(Simulation simulation) {
         return simulation.leader() == null ? "node-0" : simulation.leader();
     }
 
-    static FakeWorker busy(Simulation simulation) {
+    /** The first worker with tasks, or the first of all if none has any. */
+    static FakeWorker busyWorker(Simulation simulation) {
         return simulation.workers().values().stream()
-                .filter(w -> !w.dead() && !w.tasks().isEmpty())
+                .filter(w -> !w.isDown() && !w.tasks().isEmpty())
                 .findFirst()
                 .orElseGet(() -> simulation.workers().values().iterator().next());
     }
