--- a/src/test/java/org/spoolline/simulation/Controllers.java
+++ b/src/test/java/org/spoolline/simulation/Controllers.java
@@ -114,8 +114,8 @@
     }
 
     /**
-     * Starts a stand-in for the version without dependent jobs: it writes the same values, knows no announced limits and
-     * leaves no record of its version. It can't show how that version treats values that it does not know; the
+     * Starts a stand-in for the version without dependent jobs: it writes the same values, knows no announced limits
+     * and leaves no record of its version. It can't show how that version treats values that it does not know; the
      * benchmark's upgrade scenarios do.
      */
     public void startOlderVersion(String name) {
--- a/src/test/java/org/spoolline/simulation/Seeds.java
+++ b/src/test/java/org/spoolline/simulation/Seeds.java
@@ -3,8 +3,9 @@
 import java.util.stream.IntStream;
 
 /**
- * The seeds of the parameterized scenarios, one case each. {@code -Dscenario.seeds=N} asks for seeds 1 to N (default 4);
- * {@code -Dscenario.seed=S} runs seed S alone, to look into a failure.
+ * The seeds of the parameterized scenarios, one case each. {@code -Dscenario.seeds=N} asks for seeds 1 to N (default
+ * 4); {@code -Dscenario.seed=S} runs seed S alone, to look into a failure. The
+ * two tests that sum over all seeds need several of them.
  */
 final class Seeds {
     private static final String PROVIDER = "org.spoolline.simulation.Seeds#";
--- a/src/test/java/org/spoolline/simulation/TraceDigest.java
+++ b/src/test/java/org/spoolline/simulation/TraceDigest.java
@@ -19,9 +19,9 @@
 import org.spoolline.net.Http;
 
 /**
- * A hash of every message between the processes of one {@link Simulation}: for a request the simulated time, sender, target,
- * method, path, query and body; for its reply the simulated time at which the caller receives it, status and body. A
- * timeout counts as a reply with status 0, and a reply after it does not count, since no caller receives it.
+ * A hash of every message between the processes of one {@link Simulation}: for a request the simulated time, sender,
+ * target, method, path, query and body; for its reply the simulated time at which the caller receives it, status and
+ * body. A timeout counts as a reply with status 0, and a reply after it does not count, since no caller receives it.
  *
  * <h2>Use</h2>
  *
@@ -41,9 +41,9 @@
  * diff target/before.txt target/after.txt
  * }</pre>
  *
- * {@code -Dscenario.seeds=N} asks for more seeds, see {@link Seeds}. The file is overwritten, so two test JVMs at a time
- * need two names. It is a tool for comparison; no digest is kept in the repository, since most changes of the program
- * change some message.
+ * {@code -Dscenario.seeds=N} asks for more seeds, see {@link Seeds}. The file is overwritten, so two test JVMs at a
+ * time need two names. It is a tool for comparison; no digest is kept in the repository, since most changes of the
+ * program change some message.
  */
 final class TraceDigest {
     private static final String FILE = System.getProperty("trace.digest", "");
