--- a/src/main/java/org/spoolline/api/AncestorWalk.java
+++ b/src/main/java/org/spoolline/api/AncestorWalk.java
@@ -116,10 +116,12 @@
             add(AncestorVerdict.CANCELLED);
             return;
         }
-        AncestorCache.LiveJob live = cache.liveJob(jobId)
-                .orElseThrow(() ->
-                        new IllegalStateException("under the key of " + jobId + " is stored " + pipeline.jobId()));
-        addLive(jobId, live);
+        addLive(jobId, cache.liveJob(jobId).orElseThrow(() -> storedUnderAnotherKey(jobId, pipeline)));
+    }
+
+    private static IllegalStateException storedUnderAnotherKey(String jobId, Pipeline pipeline) {
+        return new IllegalStateException(
+                "Live value stored under the key of another job: job=" + jobId + " stored=" + pipeline.jobId());
     }
 
     private void addLive(String jobId, AncestorCache.LiveJob live) {
--- a/src/test/java/org/spoolline/api/JobApiRequestsTest.java
+++ b/src/test/java/org/spoolline/api/JobApiRequestsTest.java
@@ -11,7 +11,7 @@
 import org.spoolline.config.SettingsException;
 import org.spoolline.pipeline.SubmissionCodec;
 
-/** Responses to requests that are malformed or ask for what can never be, byte by byte. */
+/** Responses to requests that are malformed, can never be satisfied or can't be answered now, byte by byte. */
 class JobApiRequestsTest {
     private static final String NO_SUCH_JOB = "404 {\"error\":\"no such job\"}";
     private static final String METHOD_NOT_ALLOWED = "405 {\"error\":\"method not allowed\"}";
