--- a/src/main/java/org/spoolline/pipeline/AttemptId.java
+++ b/src/main/java/org/spoolline/pipeline/AttemptId.java
@@ -3,10 +3,10 @@
 import org.spoolline.config.Constants;
 
 /**
- * Identifies one attempt of one task of a job, whatever machine it is on. Workers report it, and no two attempts of a
+ * Identifies one attempt of one task of a job, whatever machine it is on. Heartbeats name it, and no two attempts of a
  * task share one.
  *
- * @param jobId     the job
+ * @param jobId   the job
  * @param task    the task's index within the job, from 0
  * @param attempt the number of the attempt; the numbers of one task only grow
  */
--- a/src/main/java/org/spoolline/pipeline/ContinuationStackCodec.java
+++ b/src/main/java/org/spoolline/pipeline/ContinuationStackCodec.java
@@ -9,113 +9,142 @@
 import java.util.Map;
 import org.spoolline.net.Json;
 
-/** Frames and stacks as compact JSON: an array whose first element names the kind of frame. */
+/**
+ * The stored form of a machine's state. A flow is an array whose first element names its kind, a stack is an array of its
+ * frames from the top down, a branch an array of its control expression and its two stacks.
+ */
 public final class ContinuationStackCodec {
+    private static final String BRANCHES = "b";
+    /** The environment: of each activity or join that has ended, its status by the first letter. */
+    private static final String STATUSES = "e";
+
+    private static final String JOINED = "j";
+    private static final String FAILING = "f";
+
+    private static final String ACTIVITY = "a";
+    private static final String SEQ = "s";
+    private static final String OR = "o";
+    private static final String FORK = "k";
+    private static final String JOIN = "j";
+    private static final String OR_CLOSURE = "c";
+    private static final String EMPTY = "e";
+
     private ContinuationStackCodec() {}
 
+    /** The stored form of a state. */
     public static JsonNode encode(CekkMachine.State state) {
         ObjectNode node = Json.object();
-        ArrayNode branches = node.putArray("b");
-        for (CekkMachine.Branch b : state.branches()) {
-            ArrayNode branch = branches.addArray();
-            branch.add(flow(b.control()));
-            branch.add(stack(b.success()));
-            branch.add(stack(b.failure()));
+        ArrayNode branches = node.putArray(BRANCHES);
+        for (CekkMachine.Branch branch : state.branches()) {
+            branches.addArray()
+                    .add(encodeFlow(branch.control()))
+                    .add(encodeStack(branch.success()))
+                    .add(encodeStack(branch.failure()));
         }
         if (!state.statuses().isEmpty()) {
-            ObjectNode env = node.putObject("e");
+            ObjectNode statuses = node.putObject(STATUSES);
             state.statuses()
-                    .forEach((name, status) -> env.put(name, status.name().substring(0, 1)));
+                    .forEach((name, status) -> statuses.put(name, status.name().substring(0, 1)));
         }
         if (!state.joined().isEmpty()) {
-            ObjectNode joins = node.putObject("j");
-            state.joined().forEach(joins::put);
+            ObjectNode joined = node.putObject(JOINED);
+            state.joined().forEach(joined::put);
         }
         if (state.failing()) {
-            node.put("f", true);
+            node.put(FAILING, true);
         }
         return node;
     }
 
+    /** Reads the stored form of a state. */
     public static CekkMachine.State decode(JsonNode node) {
         List<CekkMachine.Branch> branches = new ArrayList<>();
-        for (JsonNode b : node.path("b")) {
-            branches.add(new CekkMachine.Branch(flow(b.get(0)), stack(b.get(1)), stack(b.get(2))));
+        for (JsonNode branch : node.path(BRANCHES)) {
+            branches.add(new CekkMachine.Branch(
+                    decodeFlow(branch.get(0)), decodeStack(branch.get(1)), decodeStack(branch.get(2))));
         }
         Map<String, CekkMachine.Status> statuses = new LinkedHashMap<>();
-        node.path("e")
+        node.path(STATUSES)
                 .properties()
-                .forEach(e -> statuses.put(
-                        e.getKey(),
-                        switch (e.getValue().asText()) {
-                            case "S" -> CekkMachine.Status.SUCCEEDED;
-                            case "F" -> CekkMachine.Status.FAILED;
-                            default -> CekkMachine.Status.CANCELLED;
-                        }));
+                .forEach(entry -> statuses.put(
+                        entry.getKey(), decodeStatus(entry.getValue().asText())));
         Map<String, Integer> joined = new LinkedHashMap<>();
-        node.path("j")
+        node.path(JOINED)
                 .properties()
-                .forEach(e -> joined.put(e.getKey(), e.getValue().asInt()));
-        return new CekkMachine.State(branches, statuses, joined, node.path("f").asBoolean());
+                .forEach(entry -> joined.put(entry.getKey(), entry.getValue().asInt()));
+        return new CekkMachine.State(
+                branches, statuses, joined, node.path(FAILING).asBoolean());
     }
 
-    private static ArrayNode stack(ContinuationStack stack) {
+    private static CekkMachine.Status decodeStatus(String letter) {
+        return switch (letter) {
+            case "S" -> CekkMachine.Status.SUCCEEDED;
+            case "F" -> CekkMachine.Status.FAILED;
+            default -> CekkMachine.Status.CANCELLED;
+        };
+    }
+
+    private static ArrayNode encodeStack(ContinuationStack stack) {
         ArrayNode frames = Json.array();
-        stack.frames().forEach(f -> frames.add(flow(f)));
+        encodeFlows(stack.frames(), frames);
         return frames;
     }
 
-    private static ContinuationStack stack(JsonNode node) {
-        return new ContinuationStack(flows(node, 0));
+    private static ContinuationStack decodeStack(JsonNode frames) {
+        return new ContinuationStack(decodeFlows(frames, 0));
     }
 
-    private static ArrayNode flow(Flow flow) {
+    private static ArrayNode encodeFlow(Flow flow) {
         ArrayNode node = Json.array();
-        if (flow instanceof Flow.Activity a) {
-            node.add("a").add(a.name());
-        } else if (flow instanceof Flow.Seq s) {
-            node.add("s");
-            s.flows().forEach(f -> node.add(flow(f)));
-        } else if (flow instanceof Flow.Or o) {
-            node.add("o");
-            o.flows().forEach(f -> node.add(flow(f)));
-        } else if (flow instanceof Flow.Fork k) {
-            node.add("k").add(k.join());
-            k.flows().forEach(f -> node.add(flow(f)));
-        } else if (flow instanceof Flow.Join j) {
-            node.add("j").add(j.name()).add(j.needed());
-        } else if (flow instanceof Flow.OrClosure c) {
-            node.add("c")
-                    .add(flow(c.rest()))
-                    .add(stack(c.success()))
-                    .add(stack(c.failure()))
-                    .add(c.endless());
+        if (flow instanceof Flow.Activity activity) {
+            node.add(ACTIVITY).add(activity.name());
+        } else if (flow instanceof Flow.Seq seq) {
+            encodeFlows(seq.flows(), node.add(SEQ));
+        } else if (flow instanceof Flow.Or or) {
+            encodeFlows(or.flows(), node.add(OR));
+        } else if (flow instanceof Flow.Fork fork) {
+            encodeFlows(fork.flows(), node.add(FORK).add(fork.join()));
+        } else if (flow instanceof Flow.Join join) {
+            node.add(JOIN).add(join.name()).add(join.needed());
+        } else if (flow instanceof Flow.OrClosure closure) {
+            node.add(OR_CLOSURE)
+                    .add(encodeFlow(closure.rest()))
+                    .add(encodeStack(closure.success()))
+                    .add(encodeStack(closure.failure()))
+                    .add(closure.endless());
         } else {
-            node.add("e");
+            node.add(EMPTY);
         }
         return node;
     }
 
-    private static Flow flow(JsonNode node) {
+    private static Flow decodeFlow(JsonNode node) {
         return switch (node.get(0).asText()) {
-            case "a" -> new Flow.Activity(node.get(1).asText());
-            case "s" -> new Flow.Seq(flows(node, 1));
-            case "o" -> new Flow.Or(flows(node, 1));
-            case "k" -> new Flow.Fork(node.get(1).asText(), flows(node, 2));
-            case "j" -> new Flow.Join(node.get(1).asText(), node.get(2).asInt());
-            case "c" -> new Flow.OrClosure(
-                    (Flow.Or) flow(node.get(1)),
-                    stack(node.get(2)),
-                    stack(node.get(3)),
+            case ACTIVITY -> new Flow.Activity(node.get(1).asText());
+            case SEQ -> new Flow.Seq(decodeFlows(node, 1));
+            case OR -> new Flow.Or(decodeFlows(node, 1));
+            case FORK -> new Flow.Fork(node.get(1).asText(), decodeFlows(node, 2));
+            case JOIN -> new Flow.Join(node.get(1).asText(), node.get(2).asInt());
+            case OR_CLOSURE -> new Flow.OrClosure(
+                    (Flow.Or) decodeFlow(node.get(1)),
+                    decodeStack(node.get(2)),
+                    decodeStack(node.get(3)),
                     node.get(4).asBoolean());
             default -> Flow.EMPTY;
         };
     }
 
-    private static List<Flow> flows(JsonNode node, int from) {
+    private static void encodeFlows(List<Flow> flows, ArrayNode target) {
+        for (Flow flow : flows) {
+            target.add(encodeFlow(flow));
+        }
+    }
+
+    /** The flows that an array holds from the given position on. */
+    private static List<Flow> decodeFlows(JsonNode node, int from) {
         List<Flow> flows = new ArrayList<>();
         for (int i = from; i < node.size(); i++) {
-            flows.add(flow(node.get(i)));
+            flows.add(decodeFlow(node.get(i)));
         }
         return List.copyOf(flows);
     }
--- a/src/test/java/org/spoolline/pipeline/DependentPipelineTest.java
+++ b/src/test/java/org/spoolline/pipeline/DependentPipelineTest.java
@@ -16,17 +16,17 @@
 
 /** A job that waits for others, as one stored value. */
 class DependentPipelineTest {
-    private static ObjectNode body(int tasks, String... prerequisites) {
+    private static ObjectNode body(int tasks, String... dependencies) {
         ObjectNode body = PipelineTest.body(tasks).put("uid", "run-000009").put("dueS", 90);
         ArrayNode jobIds = body.putArray("waitsOn");
-        for (String jobId : prerequisites) {
+        for (String jobId : dependencies) {
             jobIds.add(jobId);
         }
         return body;
     }
 
-    private static Pipeline accepted(int tasks, String... prerequisites) throws SubmissionCodec.Malformed {
-        Submission spec = SubmissionCodec.parse(body(tasks, prerequisites));
+    private static Pipeline accepted(int tasks, String... dependencies) throws SubmissionCodec.Malformed {
+        Submission spec = SubmissionCodec.parse(body(tasks, dependencies));
         return Pipeline.accept(spec, SubmissionCodec.encode(spec), 1_000);
     }
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void itWaitsUntilItIsReleasedAndThenIsAnOrdinaryJob() throws Exception {
+    void itWaitsUntilItsDependenciesAreSatisfiedAndThenIsAnOrdinaryJob() throws Exception {
         Pipeline p = stored(accepted(2, "run-000001", "run-000002", "run-000001"));
         assertEquals(List.of("run-000001", "run-000002"), p.spec().dependencies());
         assertTrue(p.hasUnsatisfiedDependencies());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aCancelledPrerequisiteCancelsIt() throws Exception {
+    void aCancelledDependencyCancelsIt() throws Exception {
         Pipeline p = accepted(2, "run-000001", "run-000002");
         p.cancelWithDependency("run-000002");
         assertTrue(p.cancelledWithoutAttempts());
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aCancelledJobWhoseAttemptsHaveNoRoomKeepsTheirNumber() throws Exception {
+    void aCancelledJobWithUnlistedAttemptsKeepsTheirNumber() throws Exception {
         Pipeline p = accepted(3);
         long number = p.nextAttemptNumber();
         p.addAttempt(new Attempt(0, number, "m-000001", 1));
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aListOfPrerequisitesThatIsNoneIsRefused() throws Exception {
+    void aListOfDependenciesThatIsNoneIsRefused() throws Exception {
         for (ObjectNode bad : List.of(
                 body(1).put("waitsOn", "run-000001"),
                 body(1).put("waitsOn", 7),
--- a/src/test/java/org/spoolline/pipeline/PipelineTest.java
+++ b/src/test/java/org/spoolline/pipeline/PipelineTest.java
@@ -16,7 +16,7 @@
 
 /** A job as one stored value. */
 class PipelineTest {
-    /** A submission's body, without prerequisites. */
+    /** A submission's body, without dependencies. */
     static ObjectNode body(int tasks) {
         return Json.object()
                 .put("uid", "run-000001")
@@ -84,7 +84,7 @@
         assertEquals(number + 1, q.nextAttemptNumber());
     }
 
-    /** An array over hundreds of machines once had its placements cut short for want of room in its value. */
+    /** An array over hundreds of machines once had its placements cut short because its value was full. */
     @Test
     void theWidestArraysFitOneValueWhateverTheirTasksOrder() throws Exception {
         SplittableRandom random = new SplittableRandom(2);
@@ -117,9 +117,9 @@
         assertEquals(new HashSet<>(placed), new HashSet<>(stored(p).attempts()));
     }
 
-    /** A controller of this version takes over jobs that one of the version before has stored. */
+    /** A leader of this version takes over jobs that one of the version before has stored. */
     @Test
-    void valuesOfTheVersionBeforeAreRead() throws Exception {
+    void valuesOfTheLegacyVersionAreRead() throws Exception {
         ObjectNode old = pipeline(10)
                 .encode()
                 .put("ver", Constants.Job.PIPELINE_VERSION_LEGACY)
