--- a/src/main/java/org/spoolline/pipeline/SubmissionCodec.java
+++ b/src/main/java/org/spoolline/pipeline/SubmissionCodec.java
@@ -75,23 +75,24 @@
      *
      * @throws Malformed at the first field that isn't well-formed
      */
-    public static Submission parse(JsonNode in) throws Malformed {
-        if (!in.isObject()) {
+    public static Submission parse(JsonNode body) throws Malformed {
+        if (!body.isObject()) {
             throw new Malformed("the body is not a JSON object");
         }
+        FieldReader in = new FieldReader(body);
         String jobId = jobId(in);
-        Shape shape = constant(in, SHAPE, SHAPES);
-        Priority priority = constant(in, PRIORITY, PRIORITIES);
+        Shape shape = in.constant(SHAPE, SHAPES);
+        Priority priority = in.constant(PRIORITY, PRIORITIES);
         int tasks = taskCount(in);
         Set<String> machineTypes = machineTypes(in);
         String zone = zone(in);
         double cores = cores(in);
         OptionalDouble deadlineS = deadlineS(in);
-        String jobClass = text(in, JOB_CLASS);
-        String team = text(in, TEAM);
+        String jobClass = in.text(JOB_CLASS);
+        String team = in.text(TEAM);
         TaskResources resources = resources(in, cores);
         PlacementConstraints placement = placement(in, machineTypes, zone);
-        double estimateS = amount(in, ESTIMATE_S);
+        double estimateS = in.amount(ESTIMATE_S);
         CheckpointPolicy checkpointPolicy = checkpointPolicy(in);
         List<String> dependencies = dependencies(in);
         return new Submission(
@@ -163,16 +164,16 @@
         }
     }
 
-    private static String jobId(JsonNode in) throws Malformed {
-        String jobId = text(in, JOB_ID);
+    private static String jobId(FieldReader in) throws Malformed {
+        String jobId = in.text(JOB_ID);
         if (!isValidJobId(jobId)) {
             throw new Malformed(JOB_ID);
         }
         return jobId;
     }
 
-    private static int taskCount(JsonNode in) throws Malformed {
-        JsonNode tasks = in.path(TASKS);
+    private static int taskCount(FieldReader in) throws Malformed {
+        JsonNode tasks = in.value(TASKS);
         if (!tasks.isIntegralNumber()
                 || !tasks.canConvertToInt()
                 || tasks.asInt() < 1
@@ -182,51 +183,52 @@
         return tasks.asInt();
     }
 
-    private static double cores(JsonNode in) throws Malformed {
-        double cores = amount(in, CORES);
+    private static double cores(FieldReader in) throws Malformed {
+        double cores = in.amount(CORES);
         if (cores <= 0) {
             throw new Malformed(CORES);
         }
         return cores;
     }
 
-    private static TaskResources resources(JsonNode in, double cores) throws Malformed {
-        double accelerators = amount(in, ACCELERATORS);
-        double memoryGb = amount(in, MEMORY_GB);
-        String image = text(in, IMAGE);
-        double imageGb = amount(in, IMAGE_GB);
+    private static TaskResources resources(FieldReader in, double cores) throws Malformed {
+        double accelerators = in.amount(ACCELERATORS);
+        double memoryGb = in.amount(MEMORY_GB);
+        String image = in.text(IMAGE);
+        double imageGb = in.amount(IMAGE_GB);
         return new TaskResources(cores, accelerators, memoryGb, image, imageGb);
     }
 
-    private static PlacementConstraints placement(JsonNode in, Set<String> machineTypes, String zone) throws Malformed {
-        boolean singleZone = flag(in, SINGLE_ZONE);
-        boolean spreadAcrossZones = flag(in, SPREAD_ACROSS_ZONES);
-        boolean allowsSpot = flag(in, ALLOWS_SPOT);
+    private static PlacementConstraints placement(FieldReader in, Set<String> machineTypes, String zone)
+            throws Malformed {
+        boolean singleZone = in.flag(SINGLE_ZONE);
+        boolean spreadAcrossZones = in.flag(SPREAD_ACROSS_ZONES);
+        boolean allowsSpot = in.flag(ALLOWS_SPOT);
         return new PlacementConstraints(machineTypes, zone, singleZone, spreadAcrossZones, allowsSpot);
     }
 
-    private static CheckpointPolicy checkpointPolicy(JsonNode in) throws Malformed {
-        double intervalS = amount(in, CHECKPOINT_INTERVAL_S);
-        double saveS = amount(in, CHECKPOINT_SAVE_S);
+    private static CheckpointPolicy checkpointPolicy(FieldReader in) throws Malformed {
+        double intervalS = in.amount(CHECKPOINT_INTERVAL_S);
+        double saveS = in.amount(CHECKPOINT_SAVE_S);
         return new CheckpointPolicy(intervalS, saveS);
     }
 
-    private static OptionalDouble deadlineS(JsonNode in) throws Malformed {
-        return isAbsent(in.path(DEADLINE_S)) ? OptionalDouble.empty() : OptionalDouble.of(amount(in, DEADLINE_S));
+    private static OptionalDouble deadlineS(FieldReader in) throws Malformed {
+        return in.isAbsent(DEADLINE_S) ? OptionalDouble.empty() : OptionalDouble.of(in.amount(DEADLINE_S));
     }
 
     /** The machine types in the user's order, or null for any; a list without one would allow no machine at all. */
-    private static Set<String> machineTypes(JsonNode in) throws Malformed {
-        JsonNode names = in.path(MACHINE_TYPES);
-        if (isAbsent(names)) {
+    private static Set<String> machineTypes(FieldReader in) throws Malformed {
+        if (in.isAbsent(MACHINE_TYPES)) {
             return null;
         }
+        JsonNode names = in.value(MACHINE_TYPES);
         if (!names.isArray() || names.isEmpty()) {
             throw new Malformed(MACHINE_TYPES);
         }
         Set<String> machineTypes = new LinkedHashSet<>();
         for (JsonNode name : names) {
-            if (!isNonEmptyText(name)) {
+            if (!FieldReader.isNonEmptyText(name)) {
                 throw new Malformed(MACHINE_TYPES);
             }
             machineTypes.add(name.asText());
@@ -235,23 +237,23 @@
     }
 
     /** The zone, or null for any. */
-    private static String zone(JsonNode in) throws Malformed {
-        JsonNode zone = in.path(ZONE);
-        if (isAbsent(zone)) {
+    private static String zone(FieldReader in) throws Malformed {
+        if (in.isAbsent(ZONE)) {
             return null;
         }
-        if (!isNonEmptyText(zone)) {
+        JsonNode zone = in.value(ZONE);
+        if (!FieldReader.isNonEmptyText(zone)) {
             throw new Malformed(ZONE);
         }
         return zone.asText();
     }
 
     /** The ids of the jobs to wait for, each once; null, absent and empty all mean none. */
-    private static List<String> dependencies(JsonNode in) throws Malformed {
-        JsonNode ids = in.path(DEPENDENCIES);
-        if (isAbsent(ids)) {
+    private static List<String> dependencies(FieldReader in) throws Malformed {
+        if (in.isAbsent(DEPENDENCIES)) {
             return List.of();
         }
+        JsonNode ids = in.value(DEPENDENCIES);
         if (!ids.isArray()) {
             throw new Malformed(DEPENDENCIES);
         }
@@ -264,41 +266,4 @@
         }
         return List.copyOf(jobIds);
     }
-
-    private static boolean isAbsent(JsonNode value) {
-        return value.isMissingNode() || value.isNull();
-    }
-
-    private static boolean isNonEmptyText(JsonNode value) {
-        return value.isTextual() && !value.asText().isEmpty();
-    }
-
-    private static <E extends Enum<E>> E constant(JsonNode in, String field, WireNames<E> names) throws Malformed {
-        return names.constantOf(text(in, field)).orElseThrow(() -> new Malformed(field));
-    }
-
-    private static String text(JsonNode in, String field) throws Malformed {
-        JsonNode value = in.path(field);
-        if (!isNonEmptyText(value) || value.asText().length() > Constants.Job.MAX_NAME) {
-            throw new Malformed(field);
-        }
-        return value.asText();
-    }
-
-    private static boolean flag(JsonNode in, String field) throws Malformed {
-        JsonNode value = in.path(field);
-        if (!value.isBoolean()) {
-            throw new Malformed(field);
-        }
-        return value.asBoolean();
-    }
-
-    private static double amount(JsonNode in, String field) throws Malformed {
-        JsonNode value = in.path(field);
-        double amount = value.asDouble(-1);
-        if (!value.isNumber() || !(amount >= 0) || Double.isInfinite(amount)) {
-            throw new Malformed(field);
-        }
-        return amount;
-    }
 }
