--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresTest.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresTest.java
@@ -50,6 +50,19 @@
         assertThrows(AssertionError.class, () -> extension().run(THIS, "listedTestsThatPassFailTheRun", PASSES));
     }
 
+    @Test
+    void listedParameterizedTestsPassOnlyWhenNoCaseFails() throws Throwable {
+        String method = "listedTestsThatPassFailTheRun";
+        KnownFailuresExtension extension = extension();
+        extension.runCase(THIS, method, PASSES);
+        assertThrows(AssertionError.class, () -> extension.failOnPassedTests(THIS));
+        extension.failOnPassedTests("org.other.Test");
+        assertThrows(TestAbortedException.class, () -> extension.runCase(THIS, method, FAILS));
+        extension.runCase(THIS, method, PASSES);
+        extension.failOnPassedTests(THIS);
+        assertThrows(AssertionError.class, () -> extension.runCase(THIS, "otherTestsKeepTheirOutcome", FAILS));
+    }
+
     @Test
     void otherTestsKeepTheirOutcome() throws Throwable {
         extension().run(THIS, "otherTestsKeepTheirOutcome", PASSES);
