--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -191,7 +191,7 @@
                 .put("mayLaunch", staleness.mayLaunch())
                 .put("stateReachable", store.reachable())
                 .put("machineTypesKnown", catalog.isKnown());
-        StallMonitor.Situation stalled = election.isLeader() ? stalls.lastSeen() : null;
+        StallMonitor.Situation stalled = election.isLeader() ? stalls.lastSeen().orElse(null) : null;
         status.put("stalled", stalled == null ? null : stalled.toString());
         status.set("counts", counters.toJson());
         return status;
--- a/src/main/java/org/spoolline/job/JobKeys.java
+++ b/src/main/java/org/spoolline/job/JobKeys.java
@@ -1,6 +1,6 @@
 package org.spoolline.job;
 
-/** Where jobs are kept in the state service. A job moves from its live key to its terminal key once, never back. */
+/** The keys of jobs in the key-value store. A job moves from its live key to its terminal key once, never back. */
 public final class JobKeys {
     /** Prefix of live pipelines. */
     public static final String LIVE_PREFIX = "job/";
--- a/src/main/java/org/spoolline/job/JobTable.java
+++ b/src/main/java/org/spoolline/job/JobTable.java
@@ -12,86 +12,108 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 
-/** The leader's live pipelines: what is confirmed to be stored, and what is being written. */
+/**
+ * The leader's live jobs: the values that are confirmed to be stored, and those that are being written. Used on the event
+ * loop only.
+ */
 public final class JobTable {
-    /** One job. Its confirmed value is stored; its proposed one may be, may yet be, or may never be. */
+    /** One job. Its committed value is stored; its proposed one may be, may yet be, or may never be. */
     public static final class Entry {
         private Pipeline committed;
         private long version;
         private Pipeline proposed;
+        /** The newest event that was observed while a write was in flight, or null. */
         private KeyValueStoreClient.WatchEvent deferred;
+
         private boolean cancellationSeen;
 
+        private Entry(Pipeline committed, long version) {
+            this.committed = committed;
+            this.version = version;
+        }
+
+        /** The stored value, which is never changed in place. */
         public Pipeline committed() {
             return committed;
         }
 
+        /** Version of the committed value in the key-value store. */
         public long version() {
             return version;
         }
 
+        /** True while a write of the job has no known outcome. */
         public boolean inFlight() {
             return proposed != null;
         }
 
-        /** The value that is being written, or null. */
+        /** The value that is being written, or null while {@link #inFlight} is false. */
         public Pipeline proposed() {
             return proposed;
         }
 
-        /** True when the attempt is stored and no write that drops it is under way. */
+        /** True when the attempt is stored and no write in flight removes it. */
         public boolean holdsAttempt(Attempt attempt) {
             return committed.hasAttempt(attempt) && (proposed == null || proposed.hasAttempt(attempt));
         }
 
-        /** Nothing undoes a cancellation: it counts from when it is heard of, whatever is being written. */
+        /** True once a cancellation is known. Nothing undoes one, so it counts whatever is being written. */
         public boolean cancelled() {
             return cancellationSeen || committed.cancelled() || proposed != null && proposed.cancelled();
         }
+
+        private void defer(KeyValueStoreClient.WatchEvent event) {
+            if (deferred == null || deferred.version() < event.version()) {
+                deferred = event;
+            }
+            // A write without an answer may stay in flight for minutes; stopping the tasks must not wait for it.
+            if (event.value() != null && Pipeline.isStoredAsCancelled(event.value())) {
+                cancellationSeen = true;
+            }
+        }
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Map<AttemptId, Attempt>> attemptsByMachine = new HashMap<>();
+    private final AttemptIndex attempts = new AttemptIndex();
     private final Map<String, Long> removedAtVersion = new HashMap<>();
 
+    /** All live jobs, in the order in which they became known. */
     public Collection<Entry> entries() {
         return entries.values();
     }
 
+    /** The live job, or null when it is not known or no longer live. */
     public Entry get(String jobId) {
         return entries.get(jobId);
     }
 
-    /** Confirmed attempts on a machine, by start. */
+    /** Committed attempts on a machine, by id. */
     public Map<AttemptId, Attempt> attemptsOn(String machine) {
-        return attemptsByMachine.getOrDefault(machine, Map.of());
+        return attempts.attemptsOn(machine);
     }
 
-    /** True when a confirmed attempt is on the machine. */
+    /** True when a committed attempt is on the machine. */
     public boolean hasAttemptsOn(String machine) {
-        return attemptsByMachine.containsKey(machine);
+        return attempts.hasAttemptsOn(machine);
     }
 
     /** Forgets every job, as a new term does. */
     public void clear() {
         entries.clear();
-        attemptsByMachine.clear();
+        attempts.clear();
         removedAtVersion.clear();
     }
 
-    /** A value read or seen by the watch. Older versions than the known one change nothing. */
+    /**
+     * Takes a value that was listed, read or seen by the watch. One that is older than the known version changes nothing;
+     * one that arrives during a write is deferred until the outcome of the write is known.
+     */
     public void observe(KeyValueStoreClient.WatchEvent event, String jobId) {
         Entry entry = entries.get(jobId);
         if (entry != null && entry.inFlight()) {
-            if (entry.deferred == null || entry.deferred.version() < event.version()) {
-                entry.deferred = event;
-            }
-            // A write without an answer may stay under way for minutes; the end of its tasks must not wait for it.
-            if (event.value() != null && Pipeline.isStoredAsCancelled(event.value())) {
-                entry.cancellationSeen = true;
-            }
+            entry.defer(event);
             return;
         }
         if (entry != null && event.version() <= entry.version) {
@@ -100,17 +122,21 @@
         if (event.value() == null) {
             remove(jobId, event.version());
         } else if (entry != null || event.version() > removedAtVersion.getOrDefault(jobId, 0L)) {
-            // A change older than the job's removal must not bring it back: its attempts would be launched again.
-            try {
-                commit(jobId, decode(jobId, event.value()), event.version());
-            } catch (RuntimeException e) {
-                // One value that can't be read, perhaps of a later version, must not stop all the others.
-                LOG.error("the stored value of {} can't be read", jobId, e);
-            }
+            // A change older than the job's removal must not restore it: its attempts would be launched again.
+            decodeAndCommit(event, jobId);
         }
     }
 
-    /** A value that names another job than its key would stand for a job that is not in this table. */
+    /** Exception boundary: one value that can't be decoded, perhaps of a later version, must not affect the others. */
+    private void decodeAndCommit(KeyValueStoreClient.WatchEvent event, String jobId) {
+        try {
+            commit(jobId, decode(jobId, event.value()), event.version());
+        } catch (RuntimeException e) {
+            LOG.error("Stored value can't be read: job={} version={}", jobId, event.version(), e);
+        }
+    }
+
+    /** Rejects a value that names another job than its key: it would stand for a job that is not in this table. */
     private static Pipeline decode(String jobId, JsonNode value) {
         Pipeline decoded = Pipeline.decode(value);
         if (!decoded.jobId().equals(jobId)) {
@@ -119,7 +145,7 @@
         return decoded;
     }
 
-    /** Someone has confirmed to a user that the job is cancelled; the stored value may be read later, or never here. */
+    /** Records a cancellation that was confirmed to a user; the stored value may be read later, or never here. */
     public void markCancelled(String jobId) {
         Entry entry = entries.get(jobId);
         if (entry != null) {
@@ -127,76 +153,57 @@
         }
     }
 
-    /** A write of this value is under way. */
+    /** Records that a write of this value is in flight. */
     public void propose(Entry entry, Pipeline next) {
         entry.proposed = next;
     }
 
-    /** The proposed value is stored with this version. */
+    /** Records that the proposed value is stored with this version. */
     public void commitProposed(Entry entry, long version) {
         Pipeline next = entry.proposed;
         entry.proposed = null;
         commit(next.jobId(), next, version);
-        replayDeferred(entry);
+        observeDeferred(entry);
     }
 
-    /** The proposed value can no longer be stored. */
+    /** Records that the proposed value can no longer be stored. */
     public void abandonProposed(Entry entry) {
         entry.proposed = null;
-        replayDeferred(entry);
+        observeDeferred(entry);
     }
 
-    private void replayDeferred(Entry entry) {
-        KeyValueStoreClient.WatchEvent held = entry.deferred;
+    private void observeDeferred(Entry entry) {
+        KeyValueStoreClient.WatchEvent deferred = entry.deferred;
         entry.deferred = null;
-        if (held != null) {
-            observe(held, entry.committed.jobId());
+        if (deferred != null) {
+            observe(deferred, entry.committed.jobId());
         }
     }
 
-    /** The job has moved to its final record. */
+    /** Removes a job that has moved to its terminal record at this version. */
     public void remove(String jobId, long version) {
         Entry entry = entries.remove(jobId);
         removedAtVersion.merge(jobId, version, Math::max);
         if (entry != null) {
-            entry.committed.attempts().forEach(attempt -> unindex(jobId, attempt));
+            attempts.remove(entry.committed);
         }
     }
 
-    /** Removals up to this revision can't be undone by the watch any more. */
+    /** Forgets removals up to this revision, which no later watch event can precede. */
     public void forgetRemovalsUpTo(long revision) {
-        removedAtVersion.values().removeIf(v -> v <= revision);
+        removedAtVersion.values().removeIf(version -> version <= revision);
     }
 
     private void commit(String jobId, Pipeline value, long version) {
-        Entry entry = entries.computeIfAbsent(jobId, u -> new Entry());
+        Entry entry = entries.get(jobId);
+        if (entry == null) {
+            entries.put(jobId, new Entry(value, version));
+            attempts.add(value);
+            return;
+        }
         Pipeline before = entry.committed;
         entry.committed = value;
         entry.version = version;
-        if (before != null) {
-            // Only the difference: a wide array changes by a few attempts a write.
-            before.attempts().forEach(attempt -> {
-                if (!value.hasAttempt(attempt)) {
-                    unindex(jobId, attempt);
-                }
-            });
-        }
-        value.attempts().forEach(attempt -> {
-            if (before == null || !before.hasAttempt(attempt)) {
-                attemptsByMachine
-                        .computeIfAbsent(attempt.machine(), m -> new HashMap<>())
-                        .put(AttemptId.of(jobId, attempt), attempt);
-            }
-        });
-    }
-
-    private void unindex(String jobId, Attempt attempt) {
-        Map<AttemptId, Attempt> on = attemptsByMachine.get(attempt.machine());
-        if (on != null) {
-            on.remove(AttemptId.of(jobId, attempt));
-            if (on.isEmpty()) {
-                attemptsByMachine.remove(attempt.machine());
-            }
-        }
+        attempts.replace(before, value);
     }
 }
--- a/src/main/java/org/spoolline/job/JobWatcher.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -9,7 +9,10 @@
 import org.spoolline.metrics.Event;
 import org.spoolline.net.EventLoop;
 
-/** Keeps the leader's table of live pipelines in step with the state service: one listing, then watches without a gap. */
+/**
+ * Keeps the leader's table of live jobs in step with the key-value store: one listing, then watches without a gap. All
+ * methods and callbacks run on the event loop.
+ */
 public final class JobWatcher {
     private static final Logger LOG = LoggerFactory.getLogger(JobWatcher.class);
 
@@ -22,14 +25,16 @@
     private final Counters counters;
     private long term;
     private boolean loaded;
-    /** When reading was first tried since it last worked. */
-    private long tryingSince;
+    /** Since when reading has failed, or when it last succeeded. */
+    private long unreadSince;
 
     private long failureLoggedAt;
 
     /**
-     * @param onLoaded  runs once a term, when all live pipelines are known
-     * @param onChanged runs when some pipelines may have changed
+     * Creates a watcher that reads nothing before {@link #beginTerm}.
+     *
+     * @param onLoaded  runs once a term, when all live jobs are known
+     * @param onChanged runs when some jobs may have changed
      */
     public JobWatcher(
             EventLoop loop,
@@ -48,106 +53,102 @@
         this.counters = counters;
     }
 
-    /** Reads the live pipelines, which the election has fenced; with 0 the present term ends. */
+    /** Begins the term of this token and reads the live jobs, which the election has fenced; with 0 the present term ends. */
     public void beginTerm(long token) {
         term = token;
         loaded = false;
-        tryingSince = loop.now();
+        unreadSince = loop.now();
         failureLoggedAt = loop.now();
         if (token != 0) {
             load(token);
         }
     }
 
-    /** True once all live pipelines were read in this term. */
+    /** True once all live jobs were read in this term. */
     public boolean loaded() {
         return loaded;
     }
 
-    private void load(long mine) {
-        long sent = loop.now();
+    private void load(long readTerm) {
+        long sentAt = loop.now();
         store.list(JobKeys.LIVE_PREFIX, listing -> {
-            if (term != mine) {
+            if (term != readTerm) {
                 return;
             }
             if (!listing.answered()) {
-                failed(Event.JOBS_LISTING_FAILED);
-                later(Constants.Time.RETRY_MS, mine, () -> load(mine));
+                readFailed(Event.JOBS_LISTING_FAILED);
+                later(Constants.Time.RETRY_MS, readTerm, () -> load(readTerm));
                 return;
             }
             for (KeyValueStoreClient.VersionedValue item : listing.values()) {
                 jobs.observe(
                         new KeyValueStoreClient.WatchEvent(item.key(), item.value(), item.version()),
-                        jobId(item.key()));
+                        JobKeys.jobIdOfLive(item.key()));
             }
-            staleness.completeAsOf(sent);
+            staleness.completeAsOf(sentAt);
             counters.count(Event.JOBS_LISTED);
-            tryingSince = loop.now();
+            unreadSince = loop.now();
             if (!loaded) {
                 loaded = true;
                 LOG.info(
-                        "{} live pipelines read under token {} at revision {} in {} ms",
+                        "Loaded live jobs: jobs={} token={} revision={} durationMs={}",
                         listing.values().size(),
-                        mine,
+                        readTerm,
                         listing.revision(),
-                        loop.now() - sent);
+                        loop.now() - sentAt);
                 onLoaded.run();
             }
-            watch(mine, listing.revision());
+            watch(readTerm, listing.revision());
             onChanged.run();
         });
     }
 
-    private void watch(long mine, long after) {
-        long sent = loop.now();
-        store.watch(JobKeys.LIVE_PREFIX, after, Constants.Store.JOB_WATCH_MS, watched -> {
-            if (term != mine) {
+    private void watch(long watchTerm, long afterRevision) {
+        long sentAt = loop.now();
+        store.watch(JobKeys.LIVE_PREFIX, afterRevision, Constants.Store.JOB_WATCH_MS, watched -> {
+            if (term != watchTerm) {
                 return;
             }
             if (watched.compacted()) {
                 counters.count(Event.JOBS_WATCH_COMPACTED);
-                load(mine);
+                load(watchTerm);
                 return;
             }
             for (KeyValueStoreClient.WatchEvent event : watched.events()) {
-                jobs.observe(event, jobId(event.key()));
+                jobs.observe(event, JobKeys.jobIdOfLive(event.key()));
             }
             if (!watched.answered()) {
-                failed(Event.JOBS_WATCH_FAILED);
+                readFailed(Event.JOBS_WATCH_FAILED);
             } else {
-                tryingSince = loop.now();
+                unreadSince = loop.now();
                 jobs.forgetRemovalsUpTo(watched.revision());
-                staleness.completeAsOf(sent);
+                staleness.completeAsOf(sentAt);
             }
             if (!watched.events().isEmpty()) {
                 onChanged.run();
             }
             later(
                     watched.answered() ? Constants.Store.WATCH_PAUSE_MS : Constants.Time.RETRY_MS,
-                    mine,
-                    () -> watch(mine, watched.revision()));
+                    watchTerm,
+                    () -> watch(watchTerm, watched.revision()));
         });
     }
 
-    /** A leader that can't read the jobs starts nothing: that is said, though not for each try. */
-    private void failed(Event what) {
-        counters.count(what);
+    /** Logs that a leader which can't read the jobs places nothing, though not at each failure. */
+    private void readFailed(Event event) {
+        counters.count(event);
         if (loop.now() - failureLoggedAt >= Constants.Logging.READ_FAILURE_LOG_MS) {
             failureLoggedAt = loop.now();
-            LOG.warn("the live pipelines were not read for {} ms: {}", loop.now() - tryingSince, what.label());
+            LOG.warn("Live jobs not read: durationMs={} reason={}", loop.now() - unreadSince, event.label());
         }
     }
 
-    /** Runs the task on the loop, unless the term has ended by then. */
-    private void later(long delayMs, long mine, Runnable task) {
+    /** Runs the task after a delay, unless the term has ended by then. */
+    private void later(long delayMs, long taskTerm, Runnable task) {
         loop.after(delayMs, () -> {
-            if (term == mine) {
+            if (term == taskTerm) {
                 task.run();
             }
         });
     }
-
-    private static String jobId(String key) {
-        return JobKeys.jobIdOfLive(key);
-    }
 }
--- a/src/main/java/org/spoolline/metrics/Counters.java
+++ b/src/main/java/org/spoolline/metrics/Counters.java
@@ -7,14 +7,14 @@
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Json;
 
-/** Counts events since the process began; what has come since the last line is logged once a minute. */
+/** Counts events since the process began, and logs once a minute how often each one occurred in it. Not thread-safe. */
 public final class Counters {
     private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
     private static final Event[] EVENTS = Event.values();
 
     private final EventLoop loop;
     private final long[] counts = new long[EVENTS.length];
-    private final long[] logged = new long[EVENTS.length];
+    private final long[] loggedCounts = new long[EVENTS.length];
 
     /** Counters that start at 0; nothing is logged before {@link #start}. */
     public Counters(EventLoop loop) {
@@ -31,12 +31,12 @@
         counts[event.ordinal()]++;
     }
 
-    /** Counts an event that has come so many times. */
+    /** Counts an event that has occurred this many times. */
     public void count(Event event, int times) {
         counts[event.ordinal()] += times;
     }
 
-    /** How often the event has come. */
+    /** How often the event has occurred. */
     public long of(Event event) {
         return counts[event.ordinal()];
     }
@@ -53,21 +53,22 @@
     }
 
     private void log() {
-        String news = sinceLastLine();
-        if (!news.isEmpty()) {
-            LOG.info("last minute:{}", news);
+        String increments = takeIncrements();
+        if (!increments.isEmpty()) {
+            LOG.info("Counters of the last minute:{}", increments);
         }
         loop.after(Constants.Logging.COUNTERS_LOG_MS, this::log);
     }
 
-    private String sinceLastLine() {
+    /** What was counted since the last call, as {@code label=count} pairs with a space before each. */
+    private String takeIncrements() {
         StringBuilder text = new StringBuilder();
         for (Event event : EVENTS) {
             int index = event.ordinal();
-            long news = counts[index] - logged[index];
-            logged[index] = counts[index];
-            if (news != 0) {
-                text.append(' ').append(event.label()).append(' ').append(news);
+            long increment = counts[index] - loggedCounts[index];
+            loggedCounts[index] = counts[index];
+            if (increment != 0) {
+                text.append(' ').append(event.label()).append('=').append(increment);
             }
         }
         return text.toString();
--- a/src/main/java/org/spoolline/metrics/Event.java
+++ b/src/main/java/org/spoolline/metrics/Event.java
@@ -2,70 +2,70 @@
 
 import java.util.Locale;
 
-/** What a controller counts: answers and starts, given or withheld, each by its cause. */
+/** The events that a controller counts: requests and launches, each by its outcome and cause. */
 public enum Event {
-    /** A heartbeat was answered so that the worker's lease goes on. */
+    /** A heartbeat was answered, which renews the worker's lease. */
     HEARTBEAT_RENEWED,
-    /** Not a heartbeat. */
+    /** A request was rejected because it is no well-formed heartbeat. */
     HEARTBEAT_MALFORMED,
-    /** The worker was sent to the leader. */
+    /** A worker was redirected to the leader. */
     HEARTBEAT_REDIRECTED,
-    /** No leader is known to send the worker to. */
+    /** A heartbeat was rejected because no leader is known. */
     HEARTBEAT_WITHOUT_LEADER,
-    /** The machine counts as gone. */
+    /** A heartbeat was rejected because its machine counts as terminated. */
     HEARTBEAT_OF_TERMINATED_MACHINE,
-    /** The worker was asked to try the other controllers while the state service is out of reach. */
+    /** A worker was made to try the other controllers while the key-value store is unreachable. */
     HEARTBEAT_LEADER_PROBE,
-    /** A late copy of an earlier heartbeat. */
+    /** A heartbeat was rejected because it is a late copy of an earlier one. */
     HEARTBEAT_STALE,
-    /** The leader's view of the jobs is too old to renew a lease. */
+    /** A heartbeat was rejected because the leader's view of the jobs exceeds the staleness bound. */
     HEARTBEAT_STALE_VIEW,
 
     /** A launch was ordered. */
     LAUNCH_ORDERED,
-    /** A heartbeat that might have carried launches was answered without: the view of the jobs is too old. */
+    /** A response carried no launches because the leader's view of the jobs is too old. */
     LAUNCH_WITHHELD_STALE_VIEW,
     /** A gang's launch waits for members that still fetch their image. */
     LAUNCH_WITHHELD_GANG_FETCHING,
-    /** The end of a task was ordered. */
+    /** The stop of a task was ordered. */
     STOP_ORDERED,
 
-    /** A scheduling cycle ran to its end. */
+    /** A scheduling cycle completed. */
     CYCLE_COMPLETED,
-    /** A scheduling cycle was requested before the live pipelines were read. */
+    /** A scheduling cycle was skipped because the live jobs were not read yet. */
     CYCLE_SKIPPED_JOBS_UNREAD,
-    /** A scheduling cycle was requested while leadership had lapsed. */
+    /** A scheduling cycle was skipped because the leadership lease had expired. */
     CYCLE_SKIPPED_LEASE_EXPIRED,
     /** A scheduling cycle failed. */
     CYCLE_FAILED,
-    /** No plan could be made; ends of tasks were written all the same. */
+    /** Planning failed; the cycle still wrote which tasks had ended. */
     PLAN_FAILED,
     /** A task was placed; its launch follows once that is stored. */
     TASK_PLACED,
 
-    /** The live pipelines were read in full. */
+    /** The live jobs were read in full. */
     JOBS_LISTED,
-    /** The live pipelines could not be read. */
+    /** The live jobs could not be read. */
     JOBS_LISTING_FAILED,
-    /** A watch of the live pipelines got no answer. */
+    /** A watch of the live jobs got no answer. */
     JOBS_WATCH_FAILED,
-    /** A watch came too late for the state service's history. */
+    /** A watch asked for history that the key-value store had compacted. */
     JOBS_WATCH_COMPACTED,
 
     /** An election was won. */
     ELECTION_WON,
-    /** Another node was faster. */
+    /** An election was lost to another node. */
     ELECTION_LOST,
     /** An election got no answer, or a refusal. */
     ELECTION_UNANSWERED,
 
-    /** A user's request was carried out. */
+    /** A user's request was served. */
     USER_SERVED,
-    /** A user's request was malformed, impossible or about an unknown job. */
+    /** A user's request was rejected as malformed, impossible or about an unknown job. */
     USER_REFUSED,
-    /** A user was told to come back: the share of the state budget is spent. */
+    /** A user's request was rejected because the rate limit for users is reached. */
     USER_RATE_LIMITED,
-    /** A user was told to come back: the state service is out of reach, or the machine types are unknown. */
+    /** A user's request was rejected because the key-value store is unreachable or the machine types are unknown. */
     USER_UNAVAILABLE;
 
     /** The name in logs and counters. */
--- a/src/main/java/org/spoolline/metrics/StallMonitor.java
+++ b/src/main/java/org/spoolline/metrics/StallMonitor.java
@@ -1,5 +1,6 @@
 package org.spoolline.metrics;
 
+import java.util.Optional;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -7,46 +8,47 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Notices a leader that starts nothing while jobs wait, and says why as far as the leader knows. Asked regularly; the
- * situation is looked at only once nothing was placed for {@link Constants.Logging#STALL_MS}, and at most once in that time.
+ * Detects a leader that places nothing while jobs wait, and logs the reason as far as the leader knows it. To be called
+ * regularly; the situation is inspected only once nothing was placed for {@link Constants.Logging#STALL_MS}, and at most
+ * once in that time.
  */
 public final class StallMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(StallMonitor.class);
 
-    /** What a leader without starts knows of its reasons. */
+    /** Why a leader places nothing. */
     public enum Reason {
-        /** The live pipelines could not be read under this token. */
+        /** The live jobs could not be read under this fencing token. */
         JOBS_UNREAD,
-        /** Leadership has lapsed: its renewals are not answered. */
+        /** The leadership lease has expired: its renewals are not answered. */
         LEASE_EXPIRED,
         /** Scheduling cycles fail. */
         CYCLES_FAIL,
         /** Cycles run, but no plan can be made. */
         PLANS_FAIL,
-        /** No machine reports. */
+        /** No machine that takes work sends heartbeats. */
         NO_SCHEDULABLE_MACHINE,
-        /** The state service does not answer, or the budget for changes is spent. */
+        /** The key-value store does not answer, or the rate limit of writes is reached. */
         WRITES_BLOCKED,
-        /** Every waiting job waits for other jobs. */
+        /** Every waiting job waits for its dependencies. */
         UNSATISFIED_DEPENDENCIES,
-        /** No machine has room for a task that may run, or teams are at their limits. */
+        /** No machine has the capacity for a task that may run, or teams have reached their quotas. */
         NO_CAPACITY_OR_QUOTA
     }
 
     /**
      * What a leader sees.
      *
-     * @param reason        the first reason that applies
-     * @param waitingJobs   jobs with tasks that are not placed; those that wait for other jobs count too
-     * @param schedulableMachines machines that report and take work
-     * @param freeCores     cores on them that no stored attempt takes
+     * @param reason              the first reason that applies
+     * @param waitingJobs         jobs with tasks that are not placed, including those that wait for dependencies
+     * @param schedulableMachines machines that send heartbeats and take work
+     * @param freeCores           cores of these machines that no stored attempt occupies
      */
     public record Situation(Reason reason, int waitingJobs, int schedulableMachines, double freeCores) {}
 
     private final EventLoop loop;
     private long progressAt;
     private long checkedAt;
-    private Situation last;
+    private Optional<Situation> lastSeen = Optional.empty();
 
     /** A monitor that counts from now. */
     public StallMonitor(EventLoop loop) {
@@ -54,41 +56,43 @@
         begin();
     }
 
-    /** A term begins. */
+    /** Begins a term. */
     public void begin() {
         progressAt = loop.now();
         checkedAt = loop.now();
-        last = null;
+        lastSeen = Optional.empty();
     }
 
-    /** Something was placed. */
+    /** Records that a task was placed. */
     public void progress() {
         progressAt = loop.now();
-        last = null;
+        lastSeen = Optional.empty();
     }
 
-    /** Looks at the situation if nothing was placed for too long. */
-    public void check(Supplier<Situation> look) {
+    /** Inspects the situation if nothing was placed for too long, and logs it if jobs wait. */
+    public void check(Supplier<Situation> inspection) {
         long now = loop.now();
         if (now - Math.max(progressAt, checkedAt) < Constants.Logging.STALL_MS) {
             return;
         }
         checkedAt = now;
-        Situation seen = look.get();
-        last = seen.waitingJobs() == 0 ? null : seen;
-        if (last != null) {
-            LOG.warn(
-                    "no task was placed for {} s: {}; {} jobs wait, {} machines are usable, {} cores on them are free",
-                    (now - progressAt) / 1000,
-                    seen.reason(),
-                    seen.waitingJobs(),
-                    seen.schedulableMachines(),
-                    Math.round(seen.freeCores()));
+        Situation seen = inspection.get();
+        if (seen.waitingJobs() == 0) {
+            lastSeen = Optional.empty();
+            return;
         }
+        lastSeen = Optional.of(seen);
+        LOG.warn(
+                "No task placed: reason={} durationS={} waitingJobs={} schedulableMachines={} freeCores={}",
+                seen.reason(),
+                (now - progressAt) / 1000,
+                seen.waitingJobs(),
+                seen.schedulableMachines(),
+                Math.round(seen.freeCores()));
     }
 
-    /** What was seen at the last look, or null when something was placed since or nothing waits. */
-    public Situation lastSeen() {
-        return last;
+    /** The situation at the last inspection; empty when a task was placed since, or no job waited. */
+    public Optional<Situation> lastSeen() {
+        return lastSeen;
     }
 }
--- a/src/main/java/org/spoolline/metrics/package-info.java
+++ b/src/main/java/org/spoolline/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counters and the stall monitor, from which an incident can be understood. */
+/** Event counters and the stall monitor, from which an incident can be diagnosed. */
 package org.spoolline.metrics;
--- a/src/main/java/org/spoolline/scheduler/DependencyTracker.java
+++ b/src/main/java/org/spoolline/scheduler/DependencyTracker.java
@@ -21,17 +21,20 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * The leader's view of which job needs which, derived anew in each cycle from the live pipelines and the lasting records
- * of their prerequisites; nothing of it is stored. A job is released only on records that were read from the state
- * service or whose write it has confirmed. Records never change, so a release holds under any change of leader.
+ * The leader's view of the dependencies between jobs, derived anew in each cycle from the live jobs and the terminal
+ * records of their dependencies; nothing of it is stored. A job is released only on records that were read from the
+ * key-value store or whose write it has confirmed. Records never change, so a release holds across failovers.
  */
 final class DependencyTracker {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
 
-    /** What becomes of a waiting job in this cycle. */
+    /** What a cycle does with a job that waits for dependencies. */
     enum Verdict {
+        /** It waits on: the outcome of some dependency is not known. */
         UNSATISFIED,
+        /** It is released: all dependencies are done. */
         SATISFIED,
+        /** It is cancelled: some dependency was cancelled, directly or with one of its own. */
         CANCELLED
     }
 
@@ -40,24 +43,26 @@
     private final JobTable jobs;
     private final Runnable onChange;
     private long term;
-    /** Lasting records known of jobs that others wait for. */
+    /** Terminal records known of jobs that others depend on. */
     private final Map<String, TerminalRecord> records = new HashMap<>();
-    /** Records that are being read. */
+    /** Jobs whose terminal record is being read. */
     private final Set<String> reading = new HashSet<>();
-    /** Waiting jobs by each of their prerequisites. */
+    /** Waiting jobs by each of their dependencies. */
     private final Map<String, List<Pipeline>> dependents = new HashMap<>();
 
+    /** Verdicts other than {@link Verdict#UNSATISFIED}. */
     private final Map<String, Verdict> verdicts = new HashMap<>();
+
     private final Map<String, Submission.Priority> inherited = new HashMap<>();
 
-    DependencyTracker(EventLoop loop, KeyValueStoreClient store, JobTable jobs, Runnable onNews) {
+    DependencyTracker(EventLoop loop, KeyValueStoreClient store, JobTable jobs, Runnable onChange) {
         this.loop = loop;
         this.store = store;
         this.jobs = jobs;
-        this.onChange = onNews;
+        this.onChange = onChange;
     }
 
-    /** Forgets everything read in an earlier term; 0 ends the present one. */
+    /** Begins the term of this token, or with 0 ends the present one; forgets everything read in an earlier term. */
     void begin(long token) {
         term = token;
         records.clear();
@@ -67,12 +72,12 @@
         inherited.clear();
     }
 
-    /** The lasting record of a job is stored. */
+    /** Records that the terminal record of a job is stored. */
     void recorded(String jobId, TerminalRecord record) {
         records.put(jobId, record);
     }
 
-    /** Judges every waiting job by what is known now, and asks for the records that are missing. */
+    /** Decides on every waiting job by what is known now, and reads the records that are missing. */
     void refresh() {
         dependents.clear();
         verdicts.clear();
@@ -81,8 +86,10 @@
         for (JobTable.Entry entry : jobs.entries()) {
             if (entry.committed().hasUnsatisfiedDependencies()) {
                 waiting.add(entry);
-                for (String needed : entry.committed().spec().dependencies()) {
-                    dependents.computeIfAbsent(needed, n -> new ArrayList<>()).add(entry.committed());
+                for (String dependency : entry.committed().spec().dependencies()) {
+                    dependents
+                            .computeIfAbsent(dependency, unknown -> new ArrayList<>())
+                            .add(entry.committed());
                 }
             }
         }
@@ -92,49 +99,49 @@
         }
         cancelDependents();
         for (JobTable.Entry entry : waiting) {
-            if (verdictOf(entry.committed()) == Verdict.UNSATISFIED && allDone(entry.committed())) {
+            if (verdictOf(entry.committed()) == Verdict.UNSATISFIED && allDependenciesDone(entry.committed())) {
                 verdicts.put(entry.committed().jobId(), Verdict.SATISFIED);
             }
         }
         inheritPriorities(waiting);
     }
 
-    /** What becomes of a job that waits for prerequisites, as of the last {@link #refresh}. */
+    /** The decision on a job that waits for dependencies, as of the last {@link #refresh}. */
     Verdict verdictOf(Pipeline waiting) {
         return verdicts.getOrDefault(waiting.jobId(), Verdict.UNSATISFIED);
     }
 
-    /** The job with the verdict carried out. */
+    /** The job's next value, with its verdict carried out. */
     Pipeline step(Pipeline waiting) {
         Pipeline next = waiting.copy();
         switch (verdictOf(waiting)) {
             case SATISFIED -> {
                 next.satisfyDependencies(loop.timeOfDay());
-                LOG.info("{} may start: all jobs that it needs are done", next.jobId());
+                LOG.info("Dependencies satisfied: job={}", next.jobId());
             }
             case CANCELLED -> {
                 waiting.spec().dependencies().stream()
-                        .filter(this::cancelled)
+                        .filter(this::isCancelled)
                         .findFirst()
                         .ifPresent(next::cancelWithDependency);
-                LOG.info("{} is cancelled with a job that it needs", next.jobId());
+                LOG.info("Cancelled with a dependency: job={}", next.jobId());
             }
-            default -> {}
+            case UNSATISFIED -> {}
         }
         return next;
     }
 
-    /** By job, the highest priority among the waiting jobs that need it, directly or through others. */
+    /** By job, the highest priority among the waiting jobs that depend on it, directly or through others. */
     Map<String, Submission.Priority> inheritedPriorities() {
         return inherited;
     }
 
-    /** Goes from the cancelled jobs to all that need them: a chain of any length is cancelled in one cycle. */
+    /** Goes from the cancelled jobs to all that depend on them: a chain of any length is cancelled in one cycle. */
     private void cancelDependents() {
         Deque<String> cancelled = new ArrayDeque<>();
-        for (String needed : dependents.keySet()) {
-            if (cancelled(needed)) {
-                cancelled.add(needed);
+        for (String dependency : dependents.keySet()) {
+            if (isCancelled(dependency)) {
+                cancelled.add(dependency);
             }
         }
         while (!cancelled.isEmpty()) {
@@ -146,7 +153,7 @@
         }
     }
 
-    private boolean cancelled(String jobId) {
+    private boolean isCancelled(String jobId) {
         JobTable.Entry live = jobs.get(jobId);
         if (live != null) {
             return live.cancelled() || verdicts.get(jobId) == Verdict.CANCELLED;
@@ -155,8 +162,8 @@
         return record != null && !record.done();
     }
 
-    /** True when the records of all prerequisites say done; those of jobs that are no longer live are asked for. */
-    private boolean allDone(Pipeline waiting) {
+    /** True when the records of all dependencies are known; those of jobs that are no longer live are read. */
+    private boolean allDependenciesDone(Pipeline waiting) {
         boolean all = true;
         for (String jobId : waiting.spec().dependencies()) {
             TerminalRecord record = records.get(jobId);
@@ -174,10 +181,10 @@
         if (!reading.add(jobId)) {
             return;
         }
-        long mine = term;
+        long readTerm = term;
         store.acquireWithDebt(0);
         store.get(JobKeys.terminal(jobId), read -> {
-            if (term != mine) {
+            if (term != readTerm) {
                 return;
             }
             if (read.answered() && read.value().exists()) {
@@ -186,9 +193,9 @@
                 onChange.run();
                 return;
             }
-            // No answer, or the job's own value has not come with the watch yet.
+            // No answer, or the watch has not delivered the live value of the dependency yet.
             loop.after(Constants.Time.RETRY_MS, () -> {
-                if (term == mine) {
+                if (term == readTerm) {
                     reading.remove(jobId);
                     onChange.run();
                 }
@@ -196,7 +203,7 @@
         });
     }
 
-    /** From the highest priority down, so that each job is visited once. */
+    /** Passes priorities on to dependencies, from the highest priority down so that each job is visited once. */
     private void inheritPriorities(List<JobTable.Entry> waiting) {
         List<Pipeline> byPriority = new ArrayList<>();
         for (JobTable.Entry entry : waiting) {
@@ -205,14 +212,15 @@
             }
         }
         byPriority.sort(
-                Comparator.comparing((Pipeline p) -> p.spec().priority()).reversed());
-        for (Pipeline from : byPriority) {
-            Deque<String> needed = new ArrayDeque<>(from.spec().dependencies());
-            while (!needed.isEmpty()) {
-                String jobId = needed.remove();
+                Comparator.comparing((Pipeline job) -> job.spec().priority()).reversed());
+        for (Pipeline dependent : byPriority) {
+            Deque<String> inheriting = new ArrayDeque<>(dependent.spec().dependencies());
+            while (!inheriting.isEmpty()) {
+                String jobId = inheriting.remove();
                 JobTable.Entry live = jobs.get(jobId);
-                if (live != null && inherited.putIfAbsent(jobId, from.spec().priority()) == null) {
-                    needed.addAll(live.committed().spec().dependencies());
+                if (live != null
+                        && inherited.putIfAbsent(jobId, dependent.spec().priority()) == null) {
+                    inheriting.addAll(live.committed().spec().dependencies());
                 }
             }
         }
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -10,11 +10,15 @@
 import org.spoolline.config.Constants;
 import org.spoolline.job.JobTable;
 import org.spoolline.net.EventLoop;
+import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.reconcile.MachineReservations;
 import org.spoolline.reconcile.StopRequests;
 
-/** Machines that take work of one job only, for a bounded time: cleared for it, or kept for a gang that has its image there. */
+/**
+ * Machines that take tasks of one job only, for a bounded time: those preempted for it, and those kept for a gang that has
+ * its image there.
+ */
 final class Reservations implements MachineReservations {
     private final EventLoop loop;
     private final JobTable jobs;
@@ -22,7 +26,9 @@
     /** Gangs for which machines with their image were cleared: once each, so that none waits for long. */
     private final Set<String> gangsPreemptedForImage = new HashSet<>();
 
+    /** A job's machines with the evictions that clear them, and the time until which they are reserved. */
     private record Reservation(PlacementPlanner.Preemption preemption, long until) {
+        /** With one machine more, reserved at least until this time. */
         Reservation with(String machine, long atLeastUntil) {
             Set<String> more = new LinkedHashSet<>(preemption.machines());
             more.add(machine);
@@ -54,7 +60,7 @@
         return gangsPreemptedForImage;
     }
 
-    /** Reserves the machines of a clearing for its job. */
+    /** Reserves the machines of a preemption for its job. */
     void reserve(PlacementPlanner.Preemption preemption) {
         byJob.put(preemption.jobId(), new Reservation(preemption, loop.now() + Constants.Placement.RESERVATION_MS));
         if (preemption.forImageLocality()) {
@@ -70,7 +76,7 @@
         byJob.put(jobId, kept.with(machine, until));
     }
 
-    /** Machines reserved for a job. */
+    /** The machines that are reserved for a job. */
     Set<String> machinesOf(String jobId) {
         Reservation reservation = byJob.get(jobId);
         return reservation == null ? Set.of() : reservation.preemption().machines();
@@ -79,13 +85,15 @@
     /** The job for which a machine is reserved, by machine. */
     Map<String, String> jobsByMachine() {
         Map<String, String> reserved = new HashMap<>();
-        byJob.forEach((jobId, r) -> r.preemption().machines().forEach(m -> reserved.put(m, jobId)));
+        byJob.forEach((jobId, reservation) ->
+                reservation.preemption().machines().forEach(machine -> reserved.put(machine, jobId)));
         return reserved;
     }
 
-    /** Adds every reserved machine. */
+    /** Adds the names of all reserved machines to a collection. */
     void addMachinesTo(Collection<String> names) {
-        byJob.values().forEach(r -> names.addAll(r.preemption().machines()));
+        byJob.values()
+                .forEach(reservation -> names.addAll(reservation.preemption().machines()));
     }
 
     @Override
@@ -99,22 +107,36 @@
         }
     }
 
-    /** A reservation ends when its job has started or is over, or when it has led to nothing for too long. */
+    /** Ends the reservations of jobs that have started or reached a terminal state, and those whose time is up. */
     void expire() {
-        byJob.values().removeIf(r -> {
-            JobTable.Entry entry = jobs.get(r.preemption().jobId());
+        byJob.values().removeIf(reservation -> {
+            JobTable.Entry entry = jobs.get(reservation.preemption().jobId());
             return entry == null
                     || entry.cancelled()
-                    || started(entry.committed(), r.preemption())
-                    || loop.now() > r.until();
+                    || started(entry.committed(), reservation.preemption())
+                    || loop.now() > reservation.until();
         });
     }
 
-    /** A gang has started once it is placed in full; an array, once nobody has to leave for it any more. */
+    /** A gang has started once it is placed in full; an array, once no attempt has to leave a machine for it. */
     private boolean started(Pipeline job, PlacementPlanner.Preemption preemption) {
-        return job.spec().gang()
-                ? job.attempts().size() == job.spec().tasks()
-                : preemption.evicted().keySet().stream().noneMatch(attemptId -> preemption.machines().stream()
-                        .anyMatch(m -> jobs.attemptsOn(m).containsKey(attemptId)));
+        if (job.spec().gang()) {
+            return job.attempts().size() == job.spec().tasks();
+        }
+        for (AttemptId evicted : preemption.evicted().keySet()) {
+            if (onAny(preemption.machines(), evicted)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private boolean onAny(Set<String> machines, AttemptId attemptId) {
+        for (String machine : machines) {
+            if (jobs.attemptsOn(machine).containsKey(attemptId)) {
+                return true;
+            }
+        }
+        return false;
     }
 }
--- a/src/main/java/org/spoolline/scheduler/StallInspector.java
+++ b/src/main/java/org/spoolline/scheduler/StallInspector.java
@@ -11,7 +11,7 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 
-/** Tells what a leader that starts nothing knows of the reason. Looks at every job and machine, so it is asked rarely. */
+/** Finds why a leader places nothing, as far as it knows. Looks at every job and machine, so it is to be called rarely. */
 final class StallInspector {
     private final LeaderElection election;
     private final MachineTypeCatalog catalog;
@@ -32,24 +32,24 @@
         this.writer = writer;
     }
 
-    /** What is seen now, given whether the last scheduling cycle and the last plan came to nothing. */
-    StallMonitor.Situation inspect(List<Machine> usable, boolean lastCycleFailed, boolean lastPlanFailed) {
-        int waitsForOthers = 0;
-        int ready = 0;
+    /** The present situation, given whether the last scheduling cycle and the last plan failed. */
+    StallMonitor.Situation inspect(List<Machine> schedulable, boolean lastCycleFailed, boolean lastPlanFailed) {
+        int dependentJobs = 0;
+        int readyJobs = 0;
         for (JobTable.Entry entry : jobs.entries()) {
             Pipeline job = entry.committed();
             if (entry.cancelled()) {
                 continue;
             }
             if (job.hasUnsatisfiedDependencies()) {
-                waitsForOthers++;
+                dependentJobs++;
             } else if (job.unplacedTaskCount() > 0) {
-                ready++;
+                readyJobs++;
             }
         }
-        double free = usable.stream().mapToDouble(this::freeCores).sum();
-        StallMonitor.Reason reason = reason(ready, usable.isEmpty(), lastCycleFailed, lastPlanFailed);
-        return new StallMonitor.Situation(reason, waitsForOthers + ready, usable.size(), free);
+        StallMonitor.Reason reason = reason(readyJobs, schedulable.isEmpty(), lastCycleFailed, lastPlanFailed);
+        double freeCores = schedulable.stream().mapToDouble(this::freeCores).sum();
+        return new StallMonitor.Situation(reason, dependentJobs + readyJobs, schedulable.size(), freeCores);
     }
 
     private StallMonitor.Reason reason(
--- a/src/test/java/org/spoolline/metrics/MetricsTest.java
+++ b/src/test/java/org/spoolline/metrics/MetricsTest.java
@@ -1,25 +1,24 @@
 package org.spoolline.metrics;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.spoolline.config.Constants;
 import org.spoolline.net.FakeEventLoop;
 
-/** Counters, and the word of a leader that starts nothing. */
+/** Counters, and the reason that a leader which places nothing logs. */
 class MetricsTest {
     private final FakeEventLoop loop = new FakeEventLoop();
-    private int looks;
+    private int inspections;
 
     private StallMonitor.Situation waiting(int jobs) {
-        looks++;
+        inspections++;
         return new StallMonitor.Situation(StallMonitor.Reason.NO_SCHEDULABLE_MACHINE, jobs, 0, 0);
     }
 
     @Test
-    void countersShowWhatHasComeAndNothingElse() {
+    void countersShowOnlyEventsThatHaveOccurred() {
         Counters counters = new Counters(loop);
         counters.start();
         counters.count(Event.LAUNCH_ORDERED);
@@ -30,24 +29,24 @@
         assertEquals(3, counters.of(Event.TASK_PLACED));
     }
 
-    /** On a day without logs, nothing told a leader without machines from one without jobs. */
+    /** Without this, a leader without machines can't be distinguished from one without jobs. */
     @Test
-    void aLeaderThatStartsNothingWhileJobsWaitSaysWhyOnceInATime() {
+    void aLeaderThatPlacesNothingWhileJobsWaitIsInspectedOnceInATime() {
         StallMonitor stalls = new StallMonitor(loop);
         stalls.check(() -> waiting(2));
-        assertEquals(0, looks);
+        assertEquals(0, inspections);
         loop.standStill(Constants.Logging.STALL_MS);
         stalls.check(() -> waiting(2));
         stalls.check(() -> waiting(2));
-        assertEquals(1, looks);
-        assertNotNull(stalls.lastSeen());
+        assertEquals(1, inspections);
         assertEquals(
-                StallMonitor.Reason.NO_SCHEDULABLE_MACHINE, stalls.lastSeen().reason());
+                StallMonitor.Reason.NO_SCHEDULABLE_MACHINE,
+                stalls.lastSeen().orElseThrow().reason());
         stalls.progress();
-        assertNull(stalls.lastSeen());
+        assertEquals(Optional.empty(), stalls.lastSeen());
         loop.standStill(Constants.Logging.STALL_MS - 1);
         stalls.check(() -> waiting(2));
-        assertEquals(1, looks);
+        assertEquals(1, inspections);
     }
 
     @Test
@@ -55,7 +54,7 @@
         StallMonitor stalls = new StallMonitor(loop);
         loop.standStill(Constants.Logging.STALL_MS);
         stalls.check(() -> waiting(0));
-        assertEquals(1, looks);
-        assertNull(stalls.lastSeen());
+        assertEquals(1, inspections);
+        assertEquals(Optional.empty(), stalls.lastSeen());
     }
 }
--- a/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
+++ b/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
@@ -11,7 +11,7 @@
 import org.spoolline.net.FakeEventLoop;
 import org.spoolline.simulation.Simulation;
 
-/** The first cycle of a term leaves a late loop to heartbeats, for a bounded time; no other cycle does. */
+/** The first cycle of a term is deferred while the loop is late, for a bounded time; no other cycle is. */
 class CyclePacerTest {
     private static final Settings SETTINGS = new Simulation(1).settings("node-0");
     private static final long LATE_MS = Constants.Cycle.CYCLE_LATE_MS * 3;
@@ -36,15 +36,15 @@
     }
 
     @Test
-    void theFirstCycleOfATermIsPutOffWhileTheLoopIsLateButNotForLong() {
+    void theFirstCycleOfATermIsDeferredWhileTheLoopIsLateButNotForLong() {
         loop.lateBy(LATE_MS);
         pacer.begin();
         pacer.request(0);
         loop.runAll();
         assertEquals(1, cycles.size());
         long waited = cycles.get(0) - 1_000;
-        assertTrue(waited >= SETTINGS.workers().heartbeatMs(), "put off for " + waited);
-        assertTrue(waited < SETTINGS.workers().heartbeatMs() + 10 * LATE_MS, "put off for " + waited);
+        assertTrue(waited >= SETTINGS.workers().heartbeatMs(), "deferred for " + waited);
+        assertTrue(waited < SETTINGS.workers().heartbeatMs() + 10 * LATE_MS, "deferred for " + waited);
     }
 
     @Test
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void laterCyclesAreNotPutOff() {
+    void laterCyclesAreNotDeferred() {
         pacer.begin();
         pacer.request(0);
         loop.runAll();
--- a/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
+++ b/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
@@ -27,7 +27,7 @@
 
     private final FakeEventLoop loop = new FakeEventLoop();
     private final JobTable jobs = new JobTable();
-    /** What the state service holds under the keys that are read. */
+    /** Values in the key-value store by key. */
     private final Map<String, ObjectNode> stored = new HashMap<>();
 
     private final KeyValueStoreClient store = new KeyValueStoreClient(
