--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
@@ -27,16 +27,15 @@
     private final Reservations reservations;
     private final DependencyTracker dependencies;
 
-    ClusterSnapshotBuilder(
-            SchedulerContext context, TaskPhases phases, Reservations reservations, DependencyTracker dependencies) {
+    ClusterSnapshotBuilder(SchedulerContext context, TermState termState) {
         this.loop = context.loop();
         this.settings = context.settings();
         this.catalog = context.catalog();
         this.machines = context.machines();
         this.jobs = context.jobs();
-        this.phases = phases;
-        this.reservations = reservations;
-        this.dependencies = dependencies;
+        this.phases = termState.phases();
+        this.reservations = termState.reservations();
+        this.dependencies = termState.dependencies();
     }
 
     /**
--- a/src/main/java/org/spoolline/scheduler/CommitListener.java
+++ b/src/main/java/org/spoolline/scheduler/CommitListener.java
@@ -6,43 +6,24 @@
 import org.spoolline.job.TerminalRecord;
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.Pipeline;
-import org.spoolline.reconcile.AttemptReconciler;
 
 /** Updates the leader's tables by what becomes of the writes that a cycle has sent. */
 final class CommitListener implements PipelineWriter.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(CommitListener.class);
 
     private final JobTable jobs;
-    private final DependencyTracker dependencies;
-    private final AttemptReconciler reconciler;
-    private final GangLaunchOrder gangLaunches;
-    private final Reservations reservations;
-    private final DirtyAttempts dirtyAttempts;
-    private final OrderNotifier notifier;
+    private final TermState termState;
     private final Runnable requestCycle;
 
-    CommitListener(
-            JobTable jobs,
-            DependencyTracker dependencies,
-            AttemptReconciler reconciler,
-            GangLaunchOrder gangLaunches,
-            Reservations reservations,
-            DirtyAttempts dirtyAttempts,
-            OrderNotifier notifier,
-            Runnable requestCycle) {
+    CommitListener(JobTable jobs, TermState termState, Runnable requestCycle) {
         this.jobs = jobs;
-        this.dependencies = dependencies;
-        this.reconciler = reconciler;
-        this.gangLaunches = gangLaunches;
-        this.reservations = reservations;
-        this.dirtyAttempts = dirtyAttempts;
-        this.notifier = notifier;
+        this.termState = termState;
         this.requestCycle = requestCycle;
     }
 
     @Override
     public void sent(PendingWrite write) {
-        dirtyAttempts.unmark(write.jobId());
+        termState.dirtyAttempts().unmark(write.jobId());
     }
 
     @Override
@@ -51,7 +32,7 @@
         Pipeline before = write.entry().committed();
         for (Attempt attempt : next.attempts()) {
             if (!before.hasAttempt(attempt)) {
-                notifier.ordersChanged(attempt.machine());
+                termState.notifier().ordersChanged(attempt.machine());
             }
         }
         if (write.terminal()) {
@@ -65,22 +46,22 @@
         String jobId = job.jobId();
         LOG.info("Job reached a terminal state: job={} state={}", jobId, job.succeeded() ? "done" : "cancelled");
         jobs.remove(jobId, revision);
-        dependencies.recorded(jobId, TerminalRecord.of(job));
-        reconciler.forget(jobId);
-        gangLaunches.forget(jobId);
-        reservations.forget(jobId);
+        termState.dependencies().recorded(jobId, TerminalRecord.of(job));
+        termState.forget(jobId);
     }
 
     /** What was decided is not stored, so all of the job's attempts are to be reconciled again. */
     @Override
     public void abandoned(JobTable.Entry entry) {
-        dirtyAttempts.mark(entry.committed().jobId(), entry.committed().attempts());
+        termState
+                .dirtyAttempts()
+                .mark(entry.committed().jobId(), entry.committed().attempts());
     }
 
     @Override
     public void transactionDecided(boolean applied) {
         if (applied) {
-            notifier.notifyOrdersChanged();
+            termState.notifier().notifyOrdersChanged();
         }
         requestCycle.run();
     }
--- a/src/main/java/org/spoolline/scheduler/JobStepper.java
+++ b/src/main/java/org/spoolline/scheduler/JobStepper.java
@@ -18,17 +18,12 @@
     private final DirtyAttempts dirtyAttempts;
     private long lastFullReconcileAt;
 
-    JobStepper(
-            EventLoop loop,
-            JobTable jobs,
-            DependencyTracker dependencies,
-            AttemptReconciler reconciler,
-            DirtyAttempts dirtyAttempts) {
+    JobStepper(EventLoop loop, JobTable jobs, TermState termState) {
         this.loop = loop;
         this.jobs = jobs;
-        this.dependencies = dependencies;
-        this.reconciler = reconciler;
-        this.dirtyAttempts = dirtyAttempts;
+        this.dependencies = termState.dependencies();
+        this.reconciler = termState.reconciler();
+        this.dirtyAttempts = termState.dirtyAttempts();
     }
 
     /** Begins a term: the first full reconciliation is due one interval from now. */
--- a/src/main/java/org/spoolline/scheduler/MachineEvictions.java
+++ b/src/main/java/org/spoolline/scheduler/MachineEvictions.java
@@ -20,17 +20,12 @@
     private final OrderNotifier notifier;
     private long lastConsolidationAt;
 
-    MachineEvictions(
-            EventLoop loop,
-            MachineRegistry machines,
-            Reservations reservations,
-            AttemptReconciler reconciler,
-            OrderNotifier notifier) {
+    MachineEvictions(EventLoop loop, MachineRegistry machines, TermState termState) {
         this.loop = loop;
         this.machines = machines;
-        this.reservations = reservations;
-        this.reconciler = reconciler;
-        this.notifier = notifier;
+        this.reservations = termState.reservations();
+        this.reconciler = termState.reconciler();
+        this.notifier = termState.notifier();
     }
 
     /** Begins a term: the first consolidation is due one interval from now. */
--- a/src/main/java/org/spoolline/scheduler/Scheduler.java
+++ b/src/main/java/org/spoolline/scheduler/Scheduler.java
@@ -15,9 +15,7 @@
 import org.spoolline.metrics.StallMonitor;
 import org.spoolline.net.EventLoop;
 import org.spoolline.pipeline.AttemptId;
-import org.spoolline.reconcile.AttemptReconciler;
 import org.spoolline.reconcile.DesiredState;
-import org.spoolline.reconcile.TaskPhases;
 import org.spoolline.reconcile.TerminationProof;
 
 /**
@@ -28,7 +26,7 @@
  */
 public final class Scheduler implements DesiredState {
     /** What {@link #term} holds while this node does not lead. */
-    private static final long NO_TERM = 0;
+    static final long NO_TERM = 0;
 
     private final EventLoop loop;
     private final Settings settings;
@@ -39,18 +37,9 @@
     private final Counters counters;
     private final StallMonitor stalls;
 
-    private final OrderNotifier notifier;
-    private final Reservations reservations;
-    private final AttemptReconciler reconciler;
-    private final GangLaunchOrder gangLaunches;
-    private final DirtyAttempts dirtyAttempts;
-    private final DependencyTracker dependencies;
+    private final TermState termState;
     private final JobWatcher jobWatcher;
     private final PipelineWriter writer;
-    private final JobStepper stepper;
-    private final LaunchPreparer launches;
-    private final MachineEvictions evictions;
-    private final CyclePlanner planner;
     private final SchedulingCycle cycle;
     private final CyclePacer pacer;
     private final StallInspector inspector;
@@ -74,43 +63,12 @@
         jobs = context.jobs();
         counters = context.counters();
         stalls = context.stalls();
-        notifier = new OrderNotifier(listener);
-        reservations = new Reservations(loop, jobs);
-        reconciler = new AttemptReconciler(loop, settings, context.catalog(), machines, reservations, notifier);
-        TaskPhases phases = new TaskPhases(machines);
-        gangLaunches = new GangLaunchOrder(jobs, phases);
-        ImageTracker images = new ImageTracker(context.catalog(), jobs);
-        dirtyAttempts = new DirtyAttempts(jobs, images);
-        dependencies = new DependencyTracker(loop, context.store(), jobs, this::requestCycle);
+        termState = TermState.create(context, listener, this::requestCycle);
         jobWatcher = new JobWatcher(
                 loop, context.store(), staleness, jobs, listener::jobsLoaded, this::requestCycle, counters);
-        CommitListener commitListener = new CommitListener(
-                jobs,
-                dependencies,
-                reconciler,
-                gangLaunches,
-                reservations,
-                dirtyAttempts,
-                notifier,
-                this::requestCycle);
+        CommitListener commitListener = new CommitListener(jobs, termState, this::requestCycle);
         writer = new PipelineWriter(loop, context.store(), election, jobs, commitListener);
-        stepper = new JobStepper(loop, jobs, dependencies, reconciler, dirtyAttempts);
-        launches = new LaunchPreparer(context, gangLaunches, images);
-        evictions = new MachineEvictions(loop, machines, reservations, reconciler, notifier);
-        ClusterSnapshotBuilder snapshots = new ClusterSnapshotBuilder(context, phases, reservations, dependencies);
-        planner = new CyclePlanner(snapshots, launches, evictions, counters);
-        CapacityScaler scaler = new CapacityScaler(loop, jobs, reservations, autoscaler);
-        cycle = new SchedulingCycle(
-                reservations,
-                dirtyAttempts,
-                dependencies,
-                stepper,
-                planner,
-                evictions,
-                launches,
-                writer,
-                scaler,
-                notifier);
+        cycle = new SchedulingCycle(context, termState, writer, autoscaler);
         pacer = new CyclePacer(loop, settings, this::runCycle);
         inspector = new StallInspector(election, context.catalog(), jobs, jobWatcher, writer);
     }
@@ -119,22 +77,15 @@
     public void elected(long token) {
         term = token;
         // A former leader may have kept leases alive until its keep-alive time had run out.
-        reconciler.begin(new TerminationProof(
-                election.workerFencingToken(), loop.now() + settings.keepAliveMs(), settings.leaseExpiryMs()));
-        pacer.begin();
+        TerminationProof proof = new TerminationProof(
+                election.workerFencingToken(), loop.now() + settings.keepAliveMs(), settings.leaseExpiryMs());
+        termState.begin(token, proof);
         staleness.reset();
         writer.begin(token);
-        dependencies.begin(token);
         jobs.clear();
         machines.clear();
-        gangLaunches.clear();
-        notifier.clear();
-        reservations.clear();
-        dirtyAttempts.clear();
-        launches.clear();
-        stepper.begin();
-        evictions.begin();
-        planner.begin();
+        cycle.begin();
+        pacer.begin();
         lastCycleFailed = false;
         stalls.begin();
         jobWatcher.beginTerm(token);
@@ -145,10 +96,9 @@
     public void steppedDown() {
         term = NO_TERM;
         writer.begin(NO_TERM);
-        dependencies.begin(NO_TERM);
+        termState.end();
         jobWatcher.beginTerm(NO_TERM);
         jobs.clear();
-        reconciler.end();
     }
 
     /** Time alone can change what is proven, so a cycle runs at least once in a fixed time. */
@@ -162,7 +112,7 @@
         stalls.check(() -> inspector.inspect(
                 machines.schedulable(loop.now(), settings.heartbeatOverdueMs()),
                 lastCycleFailed,
-                planner.lastPlanFailed()));
+                cycle.lastPlanFailed()));
         loop.after(Constants.Cycle.CYCLE_IDLE_MS, () -> tick(tickTerm));
     }
 
@@ -176,19 +126,19 @@
     /** Records that a heartbeat of the machine has shown a change. */
     public void machineChanged(Machine machine) {
         if (term != NO_TERM) {
-            dirtyAttempts.machineChanged(machine);
+            termState.dirtyAttempts().machineChanged(machine);
             requestCycle();
         }
     }
 
     @Override
     public OptionalDouble graceOf(AttemptId attemptId) {
-        return reconciler.graceOf(attemptId);
+        return termState.reconciler().graceOf(attemptId);
     }
 
     @Override
     public boolean mayLaunch(AttemptId attemptId) {
-        return gangLaunches.mayLaunch(attemptId);
+        return termState.gangLaunches().mayLaunch(attemptId);
     }
 
     private void runCycle() {
--- a/src/main/java/org/spoolline/scheduler/SchedulingCycle.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulingCycle.java
@@ -1,43 +1,43 @@
 package org.spoolline.scheduler;
 
+import org.spoolline.autoscaler.Autoscaler;
+
 /**
  * One scheduling cycle: takes everything that has become known since the last one, steps the jobs, places what is ready
  * and writes every changed value once.
  */
 final class SchedulingCycle {
-    private final Reservations reservations;
-    private final DirtyAttempts dirtyAttempts;
-    private final DependencyTracker dependencies;
+    private final TermState termState;
     private final JobStepper stepper;
     private final CyclePlanner planner;
     private final MachineEvictions evictions;
     private final LaunchPreparer launches;
     private final PipelineWriter writer;
     private final CapacityScaler scaler;
-    private final OrderNotifier notifier;
     private int lastWriteCount;
 
-    SchedulingCycle(
-            Reservations reservations,
-            DirtyAttempts dirtyAttempts,
-            DependencyTracker dependencies,
-            JobStepper stepper,
-            CyclePlanner planner,
-            MachineEvictions evictions,
-            LaunchPreparer launches,
-            PipelineWriter writer,
-            CapacityScaler scaler,
-            OrderNotifier notifier) {
-        this.reservations = reservations;
-        this.dirtyAttempts = dirtyAttempts;
-        this.dependencies = dependencies;
-        this.stepper = stepper;
-        this.planner = planner;
-        this.evictions = evictions;
-        this.launches = launches;
+    SchedulingCycle(SchedulerContext context, TermState termState, PipelineWriter writer, Autoscaler autoscaler) {
+        this.termState = termState;
+        this.stepper = new JobStepper(context.loop(), context.jobs(), termState);
+        this.evictions = new MachineEvictions(context.loop(), context.machines(), termState);
+        this.launches = new LaunchPreparer(context, termState.gangLaunches(), termState.images());
+        this.planner = new CyclePlanner(
+                new ClusterSnapshotBuilder(context, termState), launches, evictions, context.counters());
         this.writer = writer;
-        this.scaler = scaler;
-        this.notifier = notifier;
+        this.scaler = new CapacityScaler(context.loop(), context.jobs(), termState.reservations(), autoscaler);
+    }
+
+    /** Begins a term. */
+    void begin() {
+        launches.clear();
+        stepper.begin();
+        evictions.begin();
+        planner.begin();
+    }
+
+    /** True when the last cycle could not make a plan. */
+    boolean lastPlanFailed() {
+        return planner.lastPlanFailed();
     }
 
     /** Number of values that the last cycle had to write. */
@@ -47,9 +47,9 @@
 
     /** Runs all phases in order. */
     void decide() {
-        reservations.expire();
-        dirtyAttempts.collect();
-        dependencies.refresh();
+        termState.reservations().expire();
+        termState.dirtyAttempts().collect();
+        termState.dependencies().refresh();
         CycleState state = stepper.stepAll();
         PlacementPlanner.Plan plan = planner.plan(state);
         evictions.start(plan);
@@ -67,9 +67,9 @@
     /** Responses whose launches wait for the write budget stay held: the next regular heartbeat is seconds away. */
     private void notifyOfOrders(boolean allSent) {
         if (allSent && writer.idle()) {
-            notifier.notifyOrdersComplete();
+            termState.notifier().notifyOrdersComplete();
         } else {
-            notifier.notifyOrdersChanged();
+            termState.notifier().notifyOrdersChanged();
         }
     }
 }
--- a/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
+++ b/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
@@ -134,7 +134,7 @@
     /** Jobs with newer values are read again; for the others the failed condition rules out any late copy. */
     private void handleConflict(Sent sent, List<String> failedKeys) {
         if (failedKeys.contains(LeaderElection.LEADER_KEY)) {
-            election.stepDown("the leader key is not ours any more");
+            election.stepDown("the leader key has changed");
             return;
         }
         LOG.info(
