--- a/src/main/java/org/spoolline/NodeStatus.java
+++ b/src/main/java/org/spoolline/NodeStatus.java
@@ -56,7 +56,8 @@
     }
 
     private String stalled() {
-        StallMonitor.Situation situation = election.isLeader() ? stalls.lastSeen() : null;
+        StallMonitor.Situation situation =
+                election.isLeader() ? stalls.lastSeen().orElse(null) : null;
         return situation == null ? null : situation.toString();
     }
 }
