--- a/src/main/java/org/spoolline/autoscaler/MachineListing.java
+++ b/src/main/java/org/spoolline/autoscaler/MachineListing.java
@@ -139,7 +139,7 @@
                     && machine.lastListedAt() >= 0
                     && !listed.contains(machine.name())
                     && listRequestedAt - machine.lastListedAt() > maxAgeMs) {
-                LOG.info("Machine terminated: machine={} reason=not-listed", machine.name());
+                LOG.info("Machine terminated: machine={} reason=not_listed", machine.name());
                 machine.markTerminated();
             }
         }
--- a/src/main/java/org/spoolline/autoscaler/ReleaseReason.java
+++ b/src/main/java/org/spoolline/autoscaler/ReleaseReason.java
@@ -3,11 +3,11 @@
 /** Why a machine is released. */
 enum ReleaseReason {
     /** It sent no heartbeat within a multiple of its type's boot time. */
-    BOOT_TIMEOUT("boot-timeout"),
+    BOOT_TIMEOUT("boot_timeout"),
     /** It sent no heartbeat for long. */
-    LOST("heartbeat-timeout"),
+    LOST("heartbeat_timeout"),
     /** Its heartbeats arrive, but the responses to them don't, so that no launch would. */
-    DOWNLINK_UNREACHABLE("downlink-unreachable"),
+    DOWNLINK_UNREACHABLE("downlink_unreachable"),
     /** It had no work for long. */
     IDLE("idle"),
     /** It was drained, and its work has ended. */
--- a/src/main/java/org/spoolline/cli/NodeProcess.java
+++ b/src/main/java/org/spoolline/cli/NodeProcess.java
@@ -44,7 +44,7 @@
     static void start(Settings settings, XnioWorker worker) {
         NodeProcess node = new NodeProcess(settings, worker);
         LOG.info(
-                "Starting controller: node={} serveOn={} internalAddress={}",
+                "Starting controller: node={} serve_on={} internal_address={}",
                 settings.node(),
                 settings.serveOn(),
                 settings.internalAddress());
--- a/src/main/java/org/spoolline/cli/SettingsLog.java
+++ b/src/main/java/org/spoolline/cli/SettingsLog.java
@@ -34,7 +34,7 @@
     /** Logs the settings in use, and which of the process's limits are too low for it. */
     static void logSummary(Settings settings) {
         LOG.info(
-                "Settings in use: controllers={} teams={} workerLeaseMs={} cancelMs={} leadershipMs={} heapMiB={}",
+                "Settings in use: controllers={} teams={} worker_lease_ms={} cancel_ms={} leadership_ms={} heap_mib={}",
                 settings.controllers(),
                 settings.teams().size(),
                 settings.workers().leaseMs(),
@@ -50,7 +50,7 @@
 
     private static void logLimits(String validity, Settings.StoreLimits limits) {
         LOG.info(
-                "Key-value store limits: validity={} requestsPerS={} writesPerS={} valueBytes={} transactionWrites={}",
+                "Key-value store limits: validity={} requests_per_s={} writes_per_s={} value_bytes={} transaction_writes={}",
                 validity,
                 limits.requestsPerS(),
                 limits.writesPerS(),
--- a/src/main/java/org/spoolline/job/JobWatcher.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -91,7 +91,7 @@
             if (!loaded) {
                 loaded = true;
                 LOG.info(
-                        "Loaded live jobs: jobs={} token={} revision={} durationMs={}",
+                        "Loaded live jobs: jobs={} token={} revision={} duration_ms={}",
                         listing.values().size(),
                         readTerm,
                         listing.revision(),
@@ -139,7 +139,7 @@
         counters.count(event);
         if (loop.now() - failureLoggedAt >= Constants.Logging.READ_FAILURE_LOG_MS) {
             failureLoggedAt = loop.now();
-            LOG.warn("Live jobs not read: durationMs={} reason={}", loop.now() - unreadSince, event.label());
+            LOG.warn("Live jobs not read: duration_ms={} reason={}", loop.now() - unreadSince, event.label());
         }
     }
 
--- a/src/main/java/org/spoolline/metrics/StallMonitor.java
+++ b/src/main/java/org/spoolline/metrics/StallMonitor.java
@@ -83,7 +83,7 @@
         }
         lastSeen = Optional.of(seen);
         LOG.warn(
-                "No task placed: reason={} durationS={} waitingJobs={} schedulableMachines={} freeCores={}",
+                "No task placed: reason={} duration_s={} waiting_jobs={} schedulable_machines={} free_cores={}",
                 seen.reason(),
                 (now - progressAt) / 1000,
                 seen.waitingJobs(),
