--- a/src/main/java/org/spoolline/cluster/Heartbeat.java
+++ b/src/main/java/org/spoolline/cluster/Heartbeat.java
@@ -1,8 +1,22 @@
 package org.spoolline.cluster;
 
 import java.util.List;
+import java.util.OptionalDouble;
 
-/** A worker's check-in. {@code interruptionNoticeS} is null, or the seconds until the cloud takes the machine. */
+/**
+ * A worker's heartbeat with the status of its tasks.
+ *
+ * @param machine the machine's name
+ * @param address host and port at which the worker takes commands, or empty
+ * @param type the name of the machine's type
+ * @param zone the zone it runs in
+ * @param spot true on a spot machine
+ * @param incarnation from 0; a worker begins a new one when its lease has expired, and counts anew after a restart
+ * @param number from 0, growing within an incarnation
+ * @param token the highest token that the worker has seen
+ * @param interruptionNoticeS seconds until the cloud takes the machine back, empty without such a notice
+ * @param tasks the attempts that the worker holds, exited ones until they are cleared
+ */
 public record Heartbeat(
         String machine,
         String address,
@@ -12,11 +26,11 @@
         long incarnation,
         long number,
         long token,
-        Double interruptionNoticeS,
+        OptionalDouble interruptionNoticeS,
         List<TaskStatus> tasks) {
 
-    /** A report with the larger session, or the larger tick within it, is the newer one. */
-    public boolean isNewerThan(long otherSession, long otherTick) {
-        return incarnation > otherSession || incarnation == otherSession && number > otherTick;
+    /** True when this one has the larger incarnation, or the larger number within the same one. */
+    public boolean isNewerThan(long otherIncarnation, long otherNumber) {
+        return incarnation > otherIncarnation || incarnation == otherIncarnation && number > otherNumber;
     }
 }
--- a/src/main/java/org/spoolline/cluster/Machine.java
+++ b/src/main/java/org/spoolline/cluster/Machine.java
@@ -1,155 +1,152 @@
 package org.spoolline.cluster;
 
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.Set;
-import org.agrona.collections.Object2LongHashMap;
-import org.spoolline.config.Constants;
 import org.spoolline.pipeline.AttemptId;
 
-/** What the leader knows of one machine. Changed on the loop only. */
+/**
+ * What the leader knows of one machine under its present leadership. Changed and read on the event loop only. All times
+ * are in ms of the loop's clock.
+ */
 public final class Machine {
-    private static final long NEVER = -1;
-
-    private final String name;
-    private final String type;
-    private final String zone;
-    private final boolean spot;
-    private String address = "";
-    private long incarnation = -1;
-    private long heartbeatNumber = -1;
-    private long acknowledgedToken = -1;
-    private Map<AttemptId, TaskStatus> tasks = Map.of();
-    private Double interruptionNoticeS;
-    private long lastHeartbeatAt = -1;
-    private long lastResponseAt = -1;
-    private long lastSentToken;
-    private int unacknowledgedResponses;
-    private long downlinkUnreachableSince = NEVER;
+    /** What a heartbeat shows against the one before. */
+    public enum HeartbeatChange {
+        /** It is a late copy of an earlier one, and counts for nothing. */
+        STALE,
+        /** Nothing but that the machine is alive. */
+        UNCHANGED,
+        /** Something that a scheduling cycle has to look at. */
+        CHANGED
+    }
+
+    private final MachineIdentity identity;
+    private final long knownSince;
+    private final LastHeartbeat lastHeartbeat = new LastHeartbeat();
+    private final Downlink downlink = new Downlink();
+    private final EarlyHeartbeats earlyHeartbeats = new EarlyHeartbeats();
+    private final TaskHistory history = new TaskHistory();
+    private final ImageCache images = new ImageCache();
     private long leaderProbeAt = Long.MIN_VALUE / 2;
-    private long earlyHeartbeatRequests;
-    private long earlyHeartbeatRequestedAt = Long.MIN_VALUE / 2;
+    private long idleSince;
+    private long lastListedAt = -1;
     private boolean terminated;
     private boolean draining;
     private boolean evacuating;
-    private final Object2LongHashMap<AttemptId> launchedAtHeartbeat = new Object2LongHashMap<>(NEVER);
-    private final Map<AttemptId, Long> runningSince = new HashMap<>();
-    private final Set<String> failedJobs = new HashSet<>();
-    private final LinkedHashMap<String, Double> images = new LinkedHashMap<>();
-    private final long knownSince;
-    private long idleSince;
-    private long lastListedAt = -1;
 
+    /** A machine that is known from {@code knownSince} on and has sent no heartbeat yet. */
     public Machine(String name, String type, String zone, boolean spot, long knownSince) {
-        this.name = name;
-        this.type = type;
-        this.zone = zone;
-        this.spot = spot;
+        this.identity = new MachineIdentity(name, type, zone, spot);
         this.knownSince = knownSince;
         this.idleSince = knownSince;
     }
 
+    /** The machine's name, unique among all machines ever known. */
     public String name() {
-        return name;
+        return identity.name();
     }
 
+    /** The name of its machine type. */
     public String type() {
-        return type;
+        return identity.type();
     }
 
+    /** The zone that it runs in. */
     public String zone() {
-        return zone;
+        return identity.zone();
     }
 
+    /** True for a spot machine. */
     public boolean spot() {
-        return spot;
+        return identity.spot();
     }
 
+    /** Host and port at which the worker takes commands; empty when it has not said. */
     public String address() {
-        return address;
+        return lastHeartbeat.address();
     }
 
+    /** The incarnation of the last heartbeat, or -1. A worker begins a new one when its lease has expired. */
     public long incarnation() {
-        return incarnation;
+        return lastHeartbeat.incarnation();
     }
 
+    /** The number of the last heartbeat within its incarnation, or -1. */
     public long heartbeatNumber() {
-        return heartbeatNumber;
+        return lastHeartbeat.number();
     }
 
-    /** Tasks of the newest report. */
+    /** The tasks that the last heartbeat lists. */
     public Map<AttemptId, TaskStatus> tasks() {
-        return tasks;
+        return lastHeartbeat.tasks();
     }
 
-    public Double interruptionNoticeS() {
-        return interruptionNoticeS;
+    /** True when the last heartbeat says that the cloud is about to take the machine back. */
+    public boolean hasInterruptionNotice() {
+        return lastHeartbeat.hasInterruptionNotice();
     }
 
+    /** True when a heartbeat has come under the present leadership. */
     public boolean hasReported() {
-        return lastHeartbeatAt >= 0;
+        return lastHeartbeat.receivedAt() >= 0;
     }
 
+    /** When the last heartbeat came, or -1. */
     public long lastHeartbeatAt() {
-        return lastHeartbeatAt;
+        return lastHeartbeat.receivedAt();
     }
 
-    public long lastResponseAt() {
-        return lastResponseAt;
+    /** True when the machine has seen the token, so that no launch of an earlier leader can take effect any more. */
+    public boolean hasAcknowledged(long token) {
+        return lastHeartbeat.token() >= token;
     }
 
-    /** Notes that the newest report was answered, and which token the answer showed. */
-    public void recordResponse(long token, long now) {
-        lastResponseAt = now;
-        lastSentToken = token;
+    /** Takes in a heartbeat unless it is stale: late copies change nothing. */
+    public HeartbeatChange accept(Heartbeat heartbeat, long leaseMs, long now) {
+        if (!lastHeartbeat.isFollowedBy(heartbeat)) {
+            return HeartbeatChange.STALE;
+        }
+        if (downlink.observe(heartbeat, lastHeartbeat, leaseMs, now) == Downlink.Observation.UNREACHABLE) {
+            earlyHeartbeats.raiseToken();
+        }
+        if (heartbeat.incarnation() > lastHeartbeat.incarnation()) {
+            history.forgetLaunches();
+        }
+        Map<AttemptId, TaskStatus> listing = new HashMap<>();
+        for (TaskStatus status : heartbeat.tasks()) {
+            AttemptId attemptId = status.attemptId();
+            listing.put(attemptId, status);
+            history.observe(attemptId, status.phase(), now);
+        }
+        if (!lastHeartbeat.replaceBy(heartbeat, listing, now)) {
+            return HeartbeatChange.UNCHANGED;
+        }
+        history.retainRunTimes(listing.keySet());
+        return HeartbeatChange.CHANGED;
     }
 
-    /** True when its reports come but answers to them don't arrive: no launch would. */
-    public boolean downlinkUnreachable() {
-        return downlinkUnreachableSince >= 0;
+    /** Notes that the last heartbeat was answered with a renewed lease, and which token the response showed. */
+    public void recordResponse(long token, long now) {
+        downlink.recordResponse(token, now);
     }
 
-    /** Since when it is deaf, or -1. */
-    public long downlinkUnreachableSince() {
-        return downlinkUnreachableSince;
+    /** When a heartbeat was last answered with a renewed lease, or -1. */
+    public long lastResponseAt() {
+        return downlink.lastResponseAt();
     }
 
-    /**
-     * Only one report is in flight, so one that does not show the token of the answer before has not heard it; and a
-     * lease that ended although we answered tells the same. From then on only a token not shown before proves hearing.
-     */
-    private void checkDownlink(Heartbeat heartbeat, long leaseMs, long now) {
-        if (lastResponseAt < 0) {
-            return;
-        }
-        if (heartbeat.incarnation() > incarnation) {
-            if (now - lastResponseAt < leaseMs) {
-                markDownlinkUnreachable(now);
-            }
-        } else if (heartbeat.token() < lastSentToken) {
-            unacknowledgedResponses++;
-            if (unacknowledgedResponses >= Constants.Heartbeat.UNACKNOWLEDGED_RESPONSES_MAX) {
-                markDownlinkUnreachable(now);
-            }
-        } else if (lastSentToken > acknowledgedToken) {
-            unacknowledgedResponses = 0;
-            downlinkUnreachableSince = NEVER;
-        }
+    /** True when the machine's heartbeats come but responses to them don't arrive: no launch would. */
+    public boolean downlinkUnreachable() {
+        return downlink.unreachableSince() >= 0;
     }
 
-    private void markDownlinkUnreachable(long now) {
-        unacknowledgedResponses = 0;
-        earlyHeartbeatRequests++;
-        if (downlinkUnreachableSince < 0) {
-            downlinkUnreachableSince = now;
-        }
+    /** Since when responses don't arrive at the machine, or -1. */
+    public long downlinkUnreachableSince() {
+        return downlink.unreachableSince();
     }
 
     /**
-     * True when a worker should ask the other controllers before it is answered here: once a period, so that it
-     * neither misses a new leader nor loses its lease.
+     * True when the worker should ask the other controllers before it is answered here: once a period, so that it
+     * neither misses a newer leader nor loses its lease.
      */
     public boolean shouldProbeForLeader(long now, long periodMs) {
         if (now - leaderProbeAt <= periodMs) {
@@ -159,165 +156,109 @@
         return true;
     }
 
-    /** True once the machine and everything on it is proven gone. */
+    /** How far the machine's token is raised above the lowest one of the present leadership. */
+    public long earlyHeartbeatRequests() {
+        return earlyHeartbeats.tokenIncrements();
+    }
+
+    /** When the last early-heartbeat request was sent; far in the past when there was none. */
+    public long earlyHeartbeatRequestedAt() {
+        return earlyHeartbeats.requestedAt();
+    }
+
+    /** Notes that an early-heartbeat request is sent: from now on the machine is shown the raised token only. */
+    public void recordEarlyHeartbeatRequest(long now) {
+        earlyHeartbeats.recordRequest(now);
+    }
+
+    /** True once a termination proof covers the machine and everything on it. */
     public boolean terminated() {
         return terminated;
     }
 
+    /** Marks the machine terminated, for good. */
     public void markTerminated() {
         terminated = true;
     }
 
-    /** True when no new work may go here, because it is to be returned. */
+    /** True when no new work may go here, because the machine is to be returned. */
     public boolean draining() {
         return draining;
     }
 
+    /** Keeps new work off the machine; its tasks run on. */
     public void drain() {
         draining = true;
     }
 
-    /** Its work is to move to other machines, and it is to be returned. */
+    /** Drains the machine with graceful eviction: tasks that save checkpoints are to move to other machines. */
     public void evacuate() {
         draining = true;
         evacuating = true;
     }
 
-    /** True when tasks that save are to leave it. */
+    /** True when tasks that save checkpoints are to leave the machine. */
     public boolean evacuating() {
         return evacuating;
     }
 
+    /** Since when the machine is known, or has been up as the cloud says. */
     public long knownSince() {
         return knownSince;
     }
 
+    /** When the machine last had work, or came up. */
     public long idleSince() {
         return idleSince;
     }
 
+    /** Notes that the machine has work now. */
     public void markBusy(long now) {
         idleSince = now;
     }
 
-    /** When a list last held the machine, or -1. */
+    /** When one of the cloud's lists last held the machine, or -1. */
     public long lastListedAt() {
         return lastListedAt;
     }
 
+    /** Notes that one of the cloud's lists holds the machine. */
     public void markListed(long now) {
         lastListedAt = now;
     }
 
-    /** True when the machine's word shows that it has seen the token, so that older leaders' launches are past. */
-    public boolean hasAcknowledged(long token) {
-        return acknowledgedToken >= token;
-    }
-
-    /** How often the machine was nudged under the present leadership. */
-    public long earlyHeartbeatRequests() {
-        return earlyHeartbeatRequests;
-    }
-
-    public long earlyHeartbeatRequestedAt() {
-        return earlyHeartbeatRequestedAt;
-    }
-
-    /** Notes that a nudge is sent: from now on the machine is shown the raised token only. */
-    public void recordEarlyHeartbeatRequest(long now) {
-        earlyHeartbeatRequests++;
-        earlyHeartbeatRequestedAt = now;
-    }
-
-    /** What a report brings: nothing, since it is an older one; no change but that the machine is there; news. */
-    public enum HeartbeatChange {
-        STALE,
-        UNCHANGED,
-        CHANGED
-    }
-
-    /**
-     * Takes a report over if it is newer than what is known; late ones change nothing. A worker's highest token only
-     * grows: a report that shows a lower one than before is of another life of the machine, whatever its numbers say.
-     */
-    public HeartbeatChange accept(Heartbeat heartbeat, long leaseMs, long now) {
-        if (!heartbeat.isNewerThan(incarnation, heartbeatNumber) || heartbeat.token() < acknowledgedToken) {
-            return HeartbeatChange.STALE;
-        }
-        checkDownlink(heartbeat, leaseMs, now);
-        boolean same = heartbeat.incarnation() == incarnation
-                && heartbeat.token() == acknowledgedToken
-                && interruptionNoticeS == null
-                && heartbeat.interruptionNoticeS() == null;
-        if (heartbeat.incarnation() > incarnation) {
-            launchedAtHeartbeat.clear();
-        }
-        incarnation = heartbeat.incarnation();
-        heartbeatNumber = heartbeat.number();
-        acknowledgedToken = heartbeat.token();
-        address = heartbeat.address();
-        interruptionNoticeS = heartbeat.interruptionNoticeS();
-        lastHeartbeatAt = now;
-        Map<AttemptId, TaskStatus> listing = new HashMap<>();
-        for (TaskStatus status : heartbeat.tasks()) {
-            AttemptId attemptId = status.attemptId();
-            listing.put(attemptId, status);
-            launchedAtHeartbeat.remove(attemptId);
-            if (status.phase() == TaskStatus.Phase.RUNNING) {
-                runningSince.putIfAbsent(attemptId, now);
-            }
-        }
-        same &= listing.equals(tasks);
-        tasks = listing;
-        if (!same) {
-            runningSince.keySet().retainAll(listing.keySet());
-        }
-        return same ? HeartbeatChange.UNCHANGED : HeartbeatChange.CHANGED;
-    }
-
-    /** Notes that the answer to the newest report held a launch. */
+    /** Notes that the response to the last heartbeat orders a launch. */
     public void recordLaunch(AttemptId attemptId) {
-        launchedAtHeartbeat.put(attemptId, heartbeatNumber);
+        history.recordLaunch(attemptId, heartbeatNumber());
     }
 
-    /** True when a launch may be on its way that the newest report can't show yet. */
+    /** True when a launch may be on its way that the last heartbeat can't show yet. */
     public boolean launchPending(AttemptId attemptId) {
-        return launchedAtHeartbeat.getValue(attemptId) >= heartbeatNumber;
+        return history.launchedAtHeartbeat(attemptId) >= heartbeatNumber();
     }
 
     /** Ms for which the task has been seen running here. */
     public long observedRunMs(AttemptId attemptId, long now) {
-        Long since = runningSince.get(attemptId);
-        return since == null ? 0 : now - since;
+        return history.observedRunMs(attemptId, now);
     }
 
-    /** Notes a failure here; returns the number of different jobs that failed since a task last completed. */
+    /** Notes a failed task; returns the number of different jobs that failed here since a task last completed. */
     public int recordTaskFailure(String jobId) {
-        failedJobs.add(jobId);
-        return failedJobs.size();
+        return history.recordFailure(jobId);
     }
 
+    /** Notes a completed task: failures before it don't count against the machine. */
     public void recordTaskCompletion() {
-        failedJobs.clear();
+        history.recordCompletion();
     }
 
+    /** True when the machine is expected to hold the image. */
     public boolean hasImage(String image) {
-        return images.containsKey(image);
+        return images.contains(image);
     }
 
     /** Notes the use of an image, dropping the least recently used ones over the cache's size. */
     public void recordImageUse(String image, double gb, double cacheGb) {
-        images.remove(image);
-        images.put(image, gb);
-        double held = images.values().stream().mapToDouble(Double::doubleValue).sum();
-        var oldest = images.entrySet().iterator();
-        while (held > cacheGb && oldest.hasNext()) {
-            Map.Entry<String, Double> entry = oldest.next();
-            if (entry.getKey().equals(image)) {
-                break;
-            }
-            held -= entry.getValue();
-            oldest.remove();
-        }
+        images.recordUse(image, gb, cacheGb);
     }
 }
--- a/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
@@ -129,7 +129,7 @@
         int lost = 0;
         for (Attempt attempt : due) {
             if (draft.committed().hasAttempt(attempt)
-                    && reconcileAttempt(draft, attempt) == TerminationProof.Verdict.TERMINATED) {
+                    && reconcileAttempt(draft, attempt) == TerminationProof.AttemptState.TERMINATED) {
                 lost++;
             }
         }
@@ -141,21 +141,21 @@
         }
     }
 
-    private TerminationProof.Verdict reconcileAttempt(DraftPipeline draft, Attempt attempt) {
+    private TerminationProof.AttemptState reconcileAttempt(DraftPipeline draft, Attempt attempt) {
         Pipeline committed = draft.committed();
         String jobId = committed.jobId();
         Machine machine = machines.get(attempt.machine());
-        TerminationProof.Finding finding = terminationProof.judge(jobId, attempt, machine, loop.now());
+        TerminationProof.Assessment assessment = terminationProof.assess(jobId, attempt, machine, loop.now());
         boolean toStop = committed.cancelled()
                 || stopForEviction(committed, attempt, machine)
                 || stops.contains(AttemptId.of(jobId, attempt));
-        switch (finding.verdict()) {
+        switch (assessment.state()) {
             case ALIVE -> {
                 if (committed.cancelled()) {
                     orders.ordersChanged(attempt.machine());
                 }
             }
-            case EXITED -> exits.apply(draft.forChange(), attempt, machine, finding.status());
+            case EXITED -> exits.apply(draft.forChange(), attempt, machine, assessment.status());
             case TERMINATED -> {
                 draft.forChange().loseAttempt(attempt);
                 LOG.debug(
@@ -172,7 +172,7 @@
             }
             case UNKNOWN -> {}
         }
-        return finding.verdict();
+        return assessment.state();
     }
 
     /**
@@ -195,7 +195,7 @@
      * that can save a checkpoint, or has not started, gains by it.
      */
     private boolean stopForEviction(Pipeline job, Attempt attempt, Machine machine) {
-        if (machine == null || machine.interruptionNoticeS() == null && !machine.evacuating()) {
+        if (machine == null || !machine.hasInterruptionNotice() && !machine.evacuating()) {
             return false;
         }
         AttemptId attemptId = AttemptId.of(job.jobId(), attempt);
--- a/src/main/java/org/spoolline/reconcile/GangReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/GangReconciler.java
@@ -35,9 +35,9 @@
         for (Attempt attempt : List.copyOf(gang.attempts())) {
             orders.ordersChanged(attempt.machine());
             stops.request(AttemptId.of(gang.jobId(), attempt), graceS);
-            TerminationProof.Finding finding =
-                    proof.judge(gang.jobId(), attempt, machines.get(attempt.machine()), loop.now());
-            if (finding.verdict() == TerminationProof.Verdict.ABSENT) {
+            TerminationProof.Assessment assessment =
+                    proof.assess(gang.jobId(), attempt, machines.get(attempt.machine()), loop.now());
+            if (assessment.state() == TerminationProof.AttemptState.ABSENT) {
                 draft.forChange().loseAttempt(attempt);
             }
         }
--- a/src/main/java/org/spoolline/reconcile/TerminationProof.java
+++ b/src/main/java/org/spoolline/reconcile/TerminationProof.java
@@ -5,75 +5,115 @@
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.AttemptId;
 
-/** What is proven about an attempt on its machine. Everything not listed here proves nothing. */
+/**
+ * Decides what is proven about an attempt on its machine; nothing else may conclude that an attempt has ended. There are
+ * five proofs, numbered as in docs/design.md:
+ *
+ * <ol>
+ *   <li>the machine's last heartbeat shows a token of the present leadership and is of another incarnation than the
+ *       attempt's;
+ *   <li>it shows such a token, is of the same incarnation, and lists the attempt as exited;
+ *   <li>it shows such a token, is of the same incarnation, does not list the attempt, and no response to it or a later
+ *       one ordered a launch;
+ *   <li>the machine itself is terminated, as the cloud has confirmed;
+ *   <li>lease expiry: nobody can have renewed the worker's lease for longer than the lease lasts.
+ * </ol>
+ *
+ * Everything else, such as a refused connection, proves nothing. An instance serves one leadership. It keeps no state of
+ * its own and is used on the event loop only.
+ */
 public final class TerminationProof {
-    /** GONE and EXITED are proofs that it is over; ABSENT, that it is not there and no launch is on its way. */
-    public enum Verdict {
+    /** What is proven about an attempt. */
+    public enum AttemptState {
+        /** The last heartbeat lists it as not exited. */
         ALIVE,
+        /** Proof 2: it has exited, and its status says why. */
         EXITED,
+        /** Proof 3: it is not on the machine, and no launch is on its way. */
         ABSENT,
+        /** Proof 1, 4 or 5: it has ended, and its exit will never be reported. */
         TERMINATED,
+        /** Nothing is proven: the attempt counts as running. */
         UNKNOWN
     }
 
-    /** A verdict, with the task's report where there is one. */
-    public record Finding(Verdict verdict, TaskStatus status) {}
+    /**
+     * A verdict with what supports it.
+     *
+     * @param status the attempt's status in the last heartbeat with ALIVE and EXITED, else null
+     */
+    public record Assessment(AttemptState state, TaskStatus status) {}
 
-    private static final Finding TERMINATED = new Finding(Verdict.TERMINATED, null);
-    private static final Finding ABSENT = new Finding(Verdict.ABSENT, null);
-    private static final Finding UNKNOWN = new Finding(Verdict.UNKNOWN, null);
+    private static final Assessment TERMINATED = new Assessment(AttemptState.TERMINATED, null);
+    private static final Assessment ABSENT = new Assessment(AttemptState.ABSENT, null);
+    private static final Assessment UNKNOWN = new Assessment(AttemptState.UNKNOWN, null);
 
     private final long token;
     private final long formerLeadersMayRenewUntil;
     private final long leaseExpiryMs;
 
     /**
-     * @param formerLeadersMayRenewUntil the latest moment at which a former leader may have renewed a worker's lease
-     * @param leaseExpiryMs after the last renewal, the time by which a worker has ended all its tasks
+     * Proofs under one leadership.
+     *
+     * @param token the lowest token that workers are shown under the leadership
+     * @param formerLeadersMayRenewUntil the latest moment at which a former leader may have renewed a worker's lease, in
+     *     ms of the loop's clock
+     * @param leaseExpiryMs ms after the last renewal by which a worker has ended all its tasks
      */
-    public TerminationProof(long token, long othersMayAnswerUntil, long silenceMs) {
+    public TerminationProof(long token, long formerLeadersMayRenewUntil, long leaseExpiryMs) {
         this.token = token;
-        this.formerLeadersMayRenewUntil = othersMayAnswerUntil;
-        this.leaseExpiryMs = silenceMs;
+        this.formerLeadersMayRenewUntil = formerLeadersMayRenewUntil;
+        this.leaseExpiryMs = leaseExpiryMs;
     }
 
-    /** Judges one attempt; {@code machine} is null when it is not known at all. */
-    public Finding judge(String jobId, Attempt attempt, Machine machine, long now) {
+    /**
+     * What is proven about the job's attempt.
+     *
+     * @param machine the attempt's machine, or null when the leader has not heard of it
+     * @param now in ms of the loop's clock
+     */
+    public Assessment assess(String jobId, Attempt attempt, Machine machine, long now) {
         if (machine == null) {
             return leaseExpired(null, now) ? TERMINATED : UNKNOWN;
         }
         if (machine.terminated()) {
             return TERMINATED;
         }
-        Finding reported = reported(jobId, attempt, machine);
-        boolean over = reported.verdict() == Verdict.EXITED || reported.verdict() == Verdict.TERMINATED;
-        return !over && leaseExpired(machine, now) ? TERMINATED : reported;
+        Assessment reported = fromLastHeartbeat(jobId, attempt, machine);
+        boolean ended = reported.state() == AttemptState.EXITED || reported.state() == AttemptState.TERMINATED;
+        return !ended && leaseExpired(machine, now) ? TERMINATED : reported;
     }
 
     /**
-     * What the newest report proves. A machine that is back at once counts its sessions and reports from the start: a
-     * copy of what it said before looks newer than its present word, but can't show a token first shown since.
+     * Proofs 1 to 3. A machine that restarts at once counts its incarnations and heartbeats from the start: a copy of a
+     * heartbeat from before looks newer than the present ones, but can't show a token first shown since.
      */
-    private Finding reported(String jobId, Attempt attempt, Machine machine) {
-        boolean present = machine.hasAcknowledged(token);
+    private Assessment fromLastHeartbeat(String jobId, Attempt attempt, Machine machine) {
+        boolean showsPresentToken = machine.hasAcknowledged(token);
         if (machine.incarnation() != attempt.incarnation()) {
-            // A later session, or an earlier one of a later life: whoever shows our token lived after the attempt's.
-            return present ? TERMINATED : UNKNOWN;
+            // A later incarnation, or an earlier one after a restart: one that shows the token lived after the
+            // attempt's.
+            return showsPresentToken ? TERMINATED : UNKNOWN;
         }
         AttemptId attemptId = AttemptId.of(jobId, attempt);
         TaskStatus status = machine.tasks().get(attemptId);
         if (status == null) {
-            return present && !machine.launchPending(attemptId) ? ABSENT : UNKNOWN;
+            return showsPresentToken && !machine.launchPending(attemptId) ? ABSENT : UNKNOWN;
         }
         if (status.phase() != TaskStatus.Phase.EXITED) {
-            return new Finding(Verdict.ALIVE, status);
+            return new Assessment(AttemptState.ALIVE, status);
         }
-        return present ? new Finding(Verdict.EXITED, status) : UNKNOWN;
+        return showsPresentToken ? new Assessment(AttemptState.EXITED, status) : UNKNOWN;
     }
 
-    /** True when nobody can have answered the machine for so long that its lease has ended. */
-    public boolean leaseExpired(Machine machine, long now) {
-        long answered = machine == null ? -1 : machine.lastResponseAt();
-        return now > Math.max(answered, formerLeadersMayRenewUntil) + leaseExpiryMs;
+    /**
+     * Proof 5: the machine's lease has expired, since neither this leader nor a former one can have renewed it for too
+     * long.
+     *
+     * @param machine the machine, or null when the leader has not heard of it
+     */
+    private boolean leaseExpired(Machine machine, long now) {
+        long renewedAt = machine == null ? -1 : machine.lastResponseAt();
+        return now > Math.max(renewedAt, formerLeadersMayRenewUntil) + leaseExpiryMs;
     }
 }
--- a/src/main/java/org/spoolline/scheduler/DependencyTracker.java
+++ b/src/main/java/org/spoolline/scheduler/DependencyTracker.java
@@ -50,7 +50,7 @@
     /** Waiting jobs by each of their dependencies. */
     private final Map<String, List<Pipeline>> dependents = new HashMap<>();
 
-    /** Verdicts other than {@link Verdict#UNSATISFIED}. */
+    /** Verdicts other than {@link AttemptState#UNSATISFIED}. */
     private final Map<String, Verdict> verdicts = new HashMap<>();
 
     private final Map<String, Submission.Priority> inherited = new HashMap<>();
--- a/src/main/java/org/spoolline/worker/LeaseRenewal.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -15,8 +15,8 @@
  * Answers accepted heartbeats: renews the worker's lease if the staleness bound still allows it at the moment of the
  * answer, and sends the orders that the leader may give at that moment. Used on the event loop only.
  */
-final class LeaseRenewal {
-    private static final Logger LOG = LoggerFactory.getLogger(LeaseRenewal.class);
+final class HeartbeatResponder {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
 
     private final EventLoop loop;
     private final LeaderElection election;
@@ -25,7 +25,7 @@
     private final Counters counters;
     private boolean ordersEnabled;
 
-    LeaseRenewal(
+    HeartbeatResponder(
             EventLoop loop,
             LeaderElection election,
             StalenessBound staleness,
@@ -105,7 +105,7 @@
         } else if (order instanceof Order.Stop stop) {
             counters.count(Event.STOP_ORDERED);
             LOG.debug(
-                    "Ordered stop: job={} task={} attempt={} machine={} graceS={}",
+                    "Ordered stop: job={} task={} attempt={} machine={} grace_s={}",
                     attemptId.jobId(),
                     attemptId.task(),
                     attemptId.attempt(),
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -21,7 +21,7 @@
 
 /**
  * The workers' heartbeat endpoint. It decides whether a heartbeat is served here, redirected to the leader or rejected;
- * {@link LeaseRenewal} answers those that are served, at once or after a short hold ({@link HeldResponses}). Used on the
+ * {@link HeartbeatResponder} answers those that are served, at once or after a short hold ({@link HeldResponses}). Used on the
  * event loop only.
  */
 public final class HeartbeatService {
@@ -36,7 +36,7 @@
     private final Consumer<Machine> onChange;
     private final Counters counters;
     private final OrderPlanner planner;
-    private final LeaseRenewal renewal;
+    private final HeartbeatResponder responder;
     private final HeldResponses heldResponses;
     private final EarlyHeartbeatRequests earlyHeartbeats;
     private long lastHeartbeatAt;
@@ -68,8 +68,8 @@
         this.onChange = onChange;
         this.counters = counters;
         planner = new OrderPlanner(jobs, desiredState, counters);
-        renewal = new LeaseRenewal(loop, election, staleness, planner, counters);
-        heldResponses = new HeldResponses(loop, staleness, planner, renewal);
+        responder = new HeartbeatResponder(loop, election, staleness, planner, counters);
+        heldResponses = new HeldResponses(loop, staleness, planner, responder);
         earlyHeartbeats = new EarlyHeartbeatRequests(loop, http, settings, election, machines, heldResponses);
     }
 
@@ -85,7 +85,7 @@
 
     /** Orders are sent only while {@code ready}: once the live pipelines have been read under the present token. */
     public void setReady(boolean ready) {
-        renewal.setOrdersEnabled(ready);
+        responder.setOrdersEnabled(ready);
     }
 
     /** Serves one heartbeat. The answer is given exactly once, at once or after a short hold. */
@@ -180,7 +180,7 @@
         if (shouldHold(machine, first)) {
             heldResponses.hold(pending);
         } else {
-            renewal.respondWithOrders(pending);
+            responder.respondWithOrders(pending);
         }
     }
 
--- a/src/main/java/org/spoolline/worker/HeldResponses.java
+++ b/src/main/java/org/spoolline/worker/HeldResponses.java
@@ -15,14 +15,14 @@
     private final EventLoop loop;
     private final StalenessBound staleness;
     private final OrderPlanner planner;
-    private final LeaseRenewal renewal;
+    private final HeartbeatResponder responder;
     private final Map<String, PendingResponse> byMachine = new LinkedHashMap<>();
 
-    HeldResponses(EventLoop loop, StalenessBound staleness, OrderPlanner planner, LeaseRenewal renewal) {
+    HeldResponses(EventLoop loop, StalenessBound staleness, OrderPlanner planner, HeartbeatResponder responder) {
         this.loop = loop;
         this.staleness = staleness;
         this.planner = planner;
-        this.renewal = renewal;
+        this.responder = responder;
     }
 
     /** True when a response to the machine is held. */
@@ -40,7 +40,7 @@
     void replace(String machine) {
         PendingResponse earlier = byMachine.remove(machine);
         if (earlier != null) {
-            renewal.respondWithoutOrders(earlier);
+            responder.respondWithoutOrders(earlier);
         }
     }
 
@@ -66,7 +66,7 @@
                 && loop.now() - pending.receivedAt() < Constants.Heartbeat.RESPONSE_HOLD_UNTIL_LOADED_MS) {
             loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> release(pending));
         } else if (byMachine.remove(pending.machine().name(), pending)) {
-            renewal.respondWithOrders(pending);
+            responder.respondWithOrders(pending);
         }
     }
 }
--- a/src/test/java/org/spoolline/cluster/KeyEqualityTest.java
+++ b/src/test/java/org/spoolline/cluster/KeyEqualityTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void starts() {
+    void attemptIds() {
         assertAllDiffer(
                 new AttemptId("u", 1, 2),
                 new AttemptId(new String("u"), 1, 2),
@@ -42,21 +42,21 @@
     }
 
     @Test
-    void taskReports() {
+    void taskStatuses() {
         assertAllDiffer(
-                report("u", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
-                report("u", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
+                status("u", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
+                status("u", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
                 List.of(
-                        report("v", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
-                        report("u", 0, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
-                        report("u", 1, 0, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
-                        report("u", 1, 2, TaskStatus.Phase.RUNNING, TaskStatus.ExitReason.COMPLETED, true),
-                        report("u", 1, 2, TaskStatus.Phase.EXITED, null, true),
-                        report("u", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, false)));
+                        status("v", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
+                        status("u", 0, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
+                        status("u", 1, 0, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
+                        status("u", 1, 2, TaskStatus.Phase.RUNNING, TaskStatus.ExitReason.COMPLETED, true),
+                        status("u", 1, 2, TaskStatus.Phase.EXITED, null, true),
+                        status("u", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, false)));
     }
 
     @Test
-    void offers() {
+    void scaleOutOffers() {
         assertAllDiffer(
                 new ScaleOutPlanner.Offer("t", "z", true),
                 new ScaleOutPlanner.Offer("t", "z", true),
@@ -66,8 +66,13 @@
                         new ScaleOutPlanner.Offer("t", "z", false)));
     }
 
-    private static TaskStatus report(
-            String jobId, int task, long attempt, TaskStatus.Phase phase, TaskStatus.ExitReason cause, boolean saved) {
-        return new TaskStatus(jobId, task, attempt, phase, cause, saved);
+    private static TaskStatus status(
+            String jobId,
+            int task,
+            long attempt,
+            TaskStatus.Phase phase,
+            TaskStatus.ExitReason reason,
+            boolean checkpointed) {
+        return new TaskStatus(jobId, task, attempt, phase, reason, checkpointed);
     }
 }
--- a/src/test/java/org/spoolline/reconcile/TerminationProofTest.java
+++ b/src/test/java/org/spoolline/reconcile/TerminationProofTest.java
@@ -3,15 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
+import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 import org.spoolline.cluster.Heartbeat;
 import org.spoolline.cluster.Machine;
 import org.spoolline.cluster.TaskStatus;
 import org.spoolline.pipeline.Attempt;
 
-/** What reports prove, above all when they are copies from before a machine's restart. */
+/** What heartbeats prove, above all when they are copies from before a machine's restart. */
 class TerminationProofTest {
-    private static final long OLD = 2;
+    private static final long FORMER = 2;
     private static final long PRESENT = 3;
     private static final long LEASE_MS = 16_000;
     private static final Attempt ATTEMPT = new Attempt(4, 1, "m", 1);
@@ -19,60 +20,70 @@
     private final TerminationProof terminationProof = new TerminationProof(PRESENT, 0, 18_000);
     private final Machine machine = new Machine("m", "small", "a", false, 0);
 
-    private Machine.HeartbeatChange hears(long session, long tick, long token, TaskStatus... tasks) {
+    private Machine.HeartbeatChange accept(long incarnation, long number, long token, TaskStatus... tasks) {
         return machine.accept(
-                new Heartbeat("m", "m:9", "small", "a", false, session, tick, token, null, List.of(tasks)),
+                new Heartbeat(
+                        "m",
+                        "m:9",
+                        "small",
+                        "a",
+                        false,
+                        incarnation,
+                        number,
+                        token,
+                        OptionalDouble.empty(),
+                        List.of(tasks)),
                 LEASE_MS,
                 1_000);
     }
 
-    private TerminationProof.Verdict verdict() {
-        return terminationProof.judge("run-000011", ATTEMPT, machine, 2_000).verdict();
+    private TerminationProof.AttemptState verdict() {
+        return terminationProof.assess("run-000011", ATTEMPT, machine, 2_000).state();
     }
 
     private static TaskStatus exited() {
         return new TaskStatus("run-000011", 4, 1, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.STOPPED, false);
     }
 
-    /** Such a copy once freed a task that the machine had been given anew: it ran twice. */
+    /** Such a copy once ended a task that was launched anew on the machine: it ran twice. */
     @Test
-    void aLaterSessionProvesNothingFromBeforeThePresentLeader() {
+    void aLaterIncarnationFromBeforeThePresentLeaderProvesNothing() {
         machine.recordResponse(PRESENT, 1_000);
-        hears(2, 28, OLD);
-        assertEquals(TerminationProof.Verdict.UNKNOWN, verdict());
-        hears(2, 29, PRESENT);
-        assertEquals(TerminationProof.Verdict.TERMINATED, verdict());
+        accept(2, 28, FORMER);
+        assertEquals(TerminationProof.AttemptState.UNKNOWN, verdict());
+        accept(2, 29, PRESENT);
+        assertEquals(TerminationProof.AttemptState.TERMINATED, verdict());
     }
 
     @Test
-    void anEndProvesNothingFromBeforeThePresentLeader() {
+    void anExitFromBeforeThePresentLeaderProvesNothing() {
         machine.recordResponse(PRESENT, 1_000);
-        hears(1, 28, OLD, exited());
-        assertEquals(TerminationProof.Verdict.UNKNOWN, verdict());
-        hears(1, 29, PRESENT, exited());
-        assertEquals(TerminationProof.Verdict.EXITED, verdict());
+        accept(1, 28, FORMER, exited());
+        assertEquals(TerminationProof.AttemptState.UNKNOWN, verdict());
+        accept(1, 29, PRESENT, exited());
+        assertEquals(TerminationProof.AttemptState.EXITED, verdict());
     }
 
-    /** The attempt was of a life before, in a later session than the machine's present one: it once stayed for ever. */
+    /** The attempt ran before a restart, in a later incarnation than the present one: it once stayed for ever. */
     @Test
-    void anEarlierSessionOfALaterLifeProvesTheEnd() {
+    void anEarlierIncarnationAfterARestartProvesTermination() {
         machine.recordResponse(PRESENT, 1_000);
-        hears(1, 2, 0);
+        accept(1, 2, 0);
         Attempt before = new Attempt(4, 1, "m", 2);
         assertEquals(
-                TerminationProof.Verdict.UNKNOWN,
-                terminationProof.judge("run-000011", before, machine, 2_000).verdict());
-        hears(1, 3, PRESENT);
+                TerminationProof.AttemptState.UNKNOWN,
+                terminationProof.assess("run-000011", before, machine, 2_000).state());
+        accept(1, 3, PRESENT);
         assertEquals(
-                TerminationProof.Verdict.TERMINATED,
-                terminationProof.judge("run-000011", before, machine, 2_000).verdict());
+                TerminationProof.AttemptState.TERMINATED,
+                terminationProof.assess("run-000011", before, machine, 2_000).state());
     }
 
     @Test
-    void aReportWithALowerTokenThanBeforeIsOfAnotherLife() {
-        hears(1, 3, PRESENT);
-        assertEquals(Machine.HeartbeatChange.STALE, hears(2, 28, OLD, exited()));
+    void aHeartbeatWithALowerTokenThanBeforeIsStale() {
+        accept(1, 3, PRESENT);
+        assertEquals(Machine.HeartbeatChange.STALE, accept(2, 28, FORMER, exited()));
         assertEquals(1, machine.incarnation());
-        assertEquals(Machine.HeartbeatChange.UNCHANGED, hears(1, 4, PRESENT));
+        assertEquals(Machine.HeartbeatChange.UNCHANGED, accept(1, 4, PRESENT));
     }
 }
--- a/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
+++ b/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Set;
 import org.spoolline.cluster.Heartbeat;
 import org.spoolline.cluster.Machine;
@@ -81,7 +82,7 @@
                         1,
                         1,
                         0,
-                        null,
+                        OptionalDouble.empty(),
                         List.of(new TaskStatus(job.jobId(), 0, 1, TaskStatus.Phase.RUNNING, null, false))),
                 LEASE_MS,
                 NOW - (long) (ranS * 1000));
--- a/src/test/java/org/spoolline/worker/HeartbeatCodecTest.java
+++ b/src/test/java/org/spoolline/worker/HeartbeatCodecTest.java
@@ -7,6 +7,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 import org.spoolline.cluster.Heartbeat;
 import org.spoolline.cluster.TaskStatus;
@@ -45,7 +46,7 @@
         assertEquals(2, heartbeat.incarnation());
         assertEquals(3, heartbeat.number());
         assertEquals(4, heartbeat.token());
-        assertEquals(30.5, heartbeat.interruptionNoticeS());
+        assertEquals(OptionalDouble.of(30.5), heartbeat.interruptionNoticeS());
         assertEquals(
                 List.of(
                         new TaskStatus("run-1", 7, 8, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.STOPPED, true),
@@ -61,7 +62,7 @@
         assertEquals("", heartbeat.zone());
         assertFalse(heartbeat.spot());
         assertEquals(0, heartbeat.token());
-        assertNull(heartbeat.interruptionNoticeS());
+        assertEquals(OptionalDouble.empty(), heartbeat.interruptionNoticeS());
         assertEquals(List.of(), heartbeat.tasks());
     }
 
@@ -77,9 +78,12 @@
 
     @Test
     void aNoticeMayBeNull() {
-        assertNull(decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":null}").interruptionNoticeS());
         assertEquals(
-                0.0, decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":0}").interruptionNoticeS());
+                OptionalDouble.empty(),
+                decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":null}").interruptionNoticeS());
+        assertEquals(
+                OptionalDouble.of(0),
+                decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":0}").interruptionNoticeS());
     }
 
     /** A later field of a name replaces an earlier one; lists of tasks add up. */
