--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -118,7 +118,7 @@
 
     @Override
     public void elected(long token, long keyVersion) {
-        heartbeatService.setReady(false);
+        heartbeatService.disableOrders();
         autoscaler.elected(token);
         scheduler.elected(token);
         leaderKnown.run();
@@ -131,7 +131,7 @@
 
     @Override
     public void steppedDown(String reason) {
-        heartbeatService.setReady(false);
+        heartbeatService.disableOrders();
         scheduler.steppedDown();
         autoscaler.steppedDown();
     }
@@ -151,18 +151,18 @@
     private final class WorkerOrders implements CycleListener {
         @Override
         public void jobsLoaded() {
-            heartbeatService.setReady(true);
+            heartbeatService.enableOrders();
         }
 
         @Override
         public void ordersChanged(Set<String> machines) {
-            heartbeatService.releaseHeldResponses(false);
+            heartbeatService.releaseHeldLaunches();
             heartbeatService.requestEarlyHeartbeats(machines);
         }
 
         @Override
         public void ordersComplete(Set<String> machines) {
-            heartbeatService.releaseHeldResponses(true);
+            heartbeatService.releaseHeldResponses();
             heartbeatService.requestEarlyHeartbeats(machines);
         }
     }
--- a/src/main/java/org/spoolline/NodeStatus.java
+++ b/src/main/java/org/spoolline/NodeStatus.java
@@ -43,7 +43,7 @@
     ObjectNode toJson() {
         ObjectNode status = Json.object()
                 .put("node", node)
-                .put("leader", election.knownLeader())
+                .put("leader", election.knownLeader().orElse(null))
                 .put("token", election.highestKnownToken())
                 .put("leads", election.isLeader())
                 .put("leadershipValid", election.hasValidLease())
--- a/src/main/java/org/spoolline/election/LeaderElection.java
+++ b/src/main/java/org/spoolline/election/LeaderElection.java
@@ -1,5 +1,6 @@
 package org.spoolline.election;
 
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -121,8 +122,8 @@
         return leaderKeyVersion;
     }
 
-    /** The leader's node name as last seen; null when none is known. */
-    public String knownLeader() {
+    /** The leader's node name as last seen, if one is known. */
+    public Optional<String> knownLeader() {
         return observer.knownLeader();
     }
 
--- a/src/main/java/org/spoolline/election/LeaderKeyObserver.java
+++ b/src/main/java/org/spoolline/election/LeaderKeyObserver.java
@@ -1,6 +1,7 @@
 package org.spoolline.election;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -54,9 +55,9 @@
         this.election = election;
     }
 
-    /** The leader's node name as last seen; null when none is known. */
-    String knownLeader() {
-        return knownLeader;
+    /** The leader's node name as last seen, if one is known. */
+    Optional<String> knownLeader() {
+        return Optional.ofNullable(knownLeader);
     }
 
     /** The highest fencing token seen on the leader key, this node's own included; 0 when none was seen. */
--- a/src/main/java/org/spoolline/job/JobTable.java
+++ b/src/main/java/org/spoolline/job/JobTable.java
@@ -67,7 +67,7 @@
                 deferred = event;
             }
             // A write without an answer may stay in flight for minutes; stopping the tasks must not wait for it.
-            if (event.value() != null && Pipeline.isStoredAsCancelled(event.value())) {
+            if (!event.isDeletion() && Pipeline.isStoredAsCancelled(event.value())) {
                 cancellationSeen = true;
             }
         }
@@ -119,7 +119,7 @@
         if (entry != null && event.version() <= entry.version) {
             return;
         }
-        if (event.value() == null) {
+        if (event.isDeletion()) {
             remove(jobId, event.version());
         } else if (entry != null || event.version() > removedAtVersion.getOrDefault(jobId, 0L)) {
             // A change older than the job's removal must not restore it: its attempts would be launched again.
--- a/src/main/java/org/spoolline/peer/PeerService.java
+++ b/src/main/java/org/spoolline/peer/PeerService.java
@@ -116,8 +116,9 @@
      * then run until their leases expire.
      */
     public void notifyLeaderOfCancellation(String cancelledJobId) {
+        String leader = election.knownLeader().orElse("");
         for (Settings.Peer peer : settings.peers()) {
-            if (peer.node().equals(election.knownLeader())) {
+            if (peer.node().equals(leader)) {
                 send(peer, CANCELLED, PeerCodec.encodeCancellation(cancelledJobId), reply -> {});
             }
         }
--- a/src/main/java/org/spoolline/worker/HeartbeatResponder.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -38,9 +38,14 @@
         this.counters = counters;
     }
 
-    /** Orders are sent only once the live pipelines have been read under the present fencing token. */
-    void setOrdersEnabled(boolean enabled) {
-        ordersEnabled = enabled;
+    /** Sends orders from now on: the live jobs have been read under the present fencing token. */
+    void enableOrders() {
+        ordersEnabled = true;
+    }
+
+    /** Renews leases without orders from now on. */
+    void disableOrders() {
+        ordersEnabled = false;
     }
 
     /** Answers with the orders that the machine needs now. */
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -83,9 +83,14 @@
         return !receivesHeartbeats() && machines.all().stream().anyMatch(machine -> !machine.terminated());
     }
 
-    /** Orders are sent only while {@code ready}: once the live pipelines have been read under the present token. */
-    public void setReady(boolean ready) {
-        responder.setOrdersEnabled(ready);
+    /** Sends orders from now on: the live jobs have been read under the present token. */
+    public void enableOrders() {
+        responder.enableOrders();
+    }
+
+    /** Sends no orders until {@link #enableOrders}: a term begins or ends. */
+    public void disableOrders() {
+        responder.disableOrders();
     }
 
     /** Serves one heartbeat. The answer is given exactly once, at once or after a short hold. */
@@ -108,16 +113,14 @@
         handleAsLeader(heartbeat.get(), answer);
     }
 
-    /**
-     * Releases held responses after the scheduling cycle's values are written: with {@code all} every one, else those to
-     * machines that have attempts to launch.
-     */
-    public void releaseHeldResponses(boolean all) {
-        if (all) {
-            heldResponses.releaseAll();
-        } else {
-            heldResponses.releaseThoseWithLaunches();
-        }
+    /** Releases every held response: all values of the scheduling cycles are written. */
+    public void releaseHeldResponses() {
+        heldResponses.releaseAll();
+    }
+
+    /** Releases the held responses to machines that have attempts to launch. */
+    public void releaseHeldLaunches() {
+        heldResponses.releaseThoseWithLaunches();
     }
 
     /** Makes the machines send a heartbeat at once, so that they receive their orders. */
@@ -203,13 +206,13 @@
 
     private void redirectToLeader(Consumer<Http.Response> answer) {
         lastHeartbeatAt = loop.now();
-        String leader = election.knownLeader();
-        if (leader == null) {
+        Optional<String> leader = election.knownLeader();
+        if (leader.isEmpty()) {
             reject(HeartbeatRejection.NO_KNOWN_LEADER, answer);
             return;
         }
         counters.count(Event.HEARTBEAT_REDIRECTED);
-        answer.accept(HeartbeatResponseCodec.redirect(leader));
+        answer.accept(HeartbeatResponseCodec.redirect(leader.get()));
     }
 
     private void reject(HeartbeatRejection rejection, Consumer<Http.Response> answer) {
--- a/src/test/java/org/spoolline/election/LeaderElectionTest.java
+++ b/src/test/java/org/spoolline/election/LeaderElectionTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
@@ -10,6 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
@@ -151,9 +151,9 @@
         loop.runTo(loop.now() + SETTINGS.renewMs());
         assertFalse(election.isLeader());
         assertFalse(election.mayKeepAlive());
-        assertNull(election.knownLeader());
+        assertEquals(Optional.empty(), election.knownLeader());
         loop.runTo(loop.now() + WATCH_MS);
-        assertEquals("other", election.knownLeader());
+        assertEquals(Optional.of("other"), election.knownLeader());
         assertEquals(2, election.highestKnownToken());
         assertEquals(1, election.fencingToken());
         assertEquals(List.of("elected 1 5", "stepped down", "observed other"), changes.subList(0, 3));
