--- a/src/main/java/org/spoolline/cluster/Downlink.java
+++ b/src/main/java/org/spoolline/cluster/Downlink.java
@@ -42,7 +42,7 @@
 
     /** Takes in a heartbeat that follows {@code previous}, before that one is replaced. */
     Observation observe(Heartbeat heartbeat, LastHeartbeat previous, long leaseMs, long now) {
-        Observation observation = compare(heartbeat, previous, leaseMs, now);
+        Observation observation = assess(heartbeat, previous, leaseMs, now);
         if (observation == Observation.REACHABLE) {
             unacknowledgedResponses = 0;
             unreachableSince = NEVER;
@@ -57,7 +57,7 @@
      * Only one heartbeat is in flight, so one that doesn't show the token of the response before has not received it;
      * a lease that expired although it was renewed in time shows the same.
      */
-    private Observation compare(Heartbeat heartbeat, LastHeartbeat previous, long leaseMs, long now) {
+    private Observation assess(Heartbeat heartbeat, LastHeartbeat previous, long leaseMs, long now) {
         if (lastResponseAt < 0) {
             return Observation.INCONCLUSIVE;
         }
--- a/src/main/java/org/spoolline/cluster/ImageCache.java
+++ b/src/main/java/org/spoolline/cluster/ImageCache.java
@@ -17,19 +17,20 @@
         return images.containsKey(image);
     }
 
-    /** Notes the use of an image of {@code gb} and drops the least recently used others over {@code cacheGb}. */
-    void recordUse(String image, double gb, double cacheGb) {
+    /** Notes the use of an image of {@code sizeGb} and drops the least recently used others over {@code cacheGb}. */
+    void recordUse(String image, double sizeGb, double cacheGb) {
         images.remove(image);
-        images.put(image, gb);
-        double held = images.values().stream().mapToDouble(Double::doubleValue).sum();
-        Iterator<Map.Entry<String, Double>> oldest = images.entrySet().iterator();
-        while (held > cacheGb && oldest.hasNext()) {
-            Map.Entry<String, Double> entry = oldest.next();
+        images.put(image, sizeGb);
+        double usedGb =
+                images.values().stream().mapToDouble(Double::doubleValue).sum();
+        Iterator<Map.Entry<String, Double>> leastRecentFirst = images.entrySet().iterator();
+        while (usedGb > cacheGb && leastRecentFirst.hasNext()) {
+            Map.Entry<String, Double> entry = leastRecentFirst.next();
             if (entry.getKey().equals(image)) {
                 break;
             }
-            held -= entry.getValue();
-            oldest.remove();
+            usedGb -= entry.getValue();
+            leastRecentFirst.remove();
         }
     }
 }
--- a/src/main/java/org/spoolline/cluster/LastHeartbeat.java
+++ b/src/main/java/org/spoolline/cluster/LastHeartbeat.java
@@ -55,17 +55,17 @@
      * True when the heartbeat was sent after this one. A worker's highest token only grows: a heartbeat that shows a
      * lower one is of another life of the machine, whatever its numbers say.
      */
-    boolean isFollowedBy(Heartbeat heartbeat) {
+    boolean precedes(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(incarnation, number) && heartbeat.token() >= token;
     }
 
-    /** Replaces this heartbeat; {@code listing} holds its tasks. Returns true when it shows a change. */
-    boolean replaceBy(Heartbeat heartbeat, Map<AttemptId, TaskStatus> listing, long now) {
-        boolean same = heartbeat.incarnation() == incarnation
+    /** Replaces this heartbeat; {@code listedTasks} holds its tasks. Returns true when it shows a change. */
+    boolean replaceWith(Heartbeat heartbeat, Map<AttemptId, TaskStatus> listedTasks, long now) {
+        boolean unchanged = heartbeat.incarnation() == incarnation
                 && heartbeat.token() == token
                 && interruptionNoticeS.isEmpty()
                 && heartbeat.interruptionNoticeS().isEmpty()
-                && listing.equals(tasks);
+                && listedTasks.equals(tasks);
         if (heartbeat.incarnation() != incarnation) {
             incarnationSince = now;
         }
@@ -75,7 +75,7 @@
         address = heartbeat.address();
         interruptionNoticeS = heartbeat.interruptionNoticeS();
         receivedAt = now;
-        tasks = listing;
-        return !same;
+        tasks = listedTasks;
+        return !unchanged;
     }
 }
--- a/src/main/java/org/spoolline/cluster/Machine.java
+++ b/src/main/java/org/spoolline/cluster/Machine.java
@@ -26,7 +26,7 @@
     private final EarlyHeartbeats earlyHeartbeats = new EarlyHeartbeats();
     private final TaskHistory history = new TaskHistory();
     private final ImageCache images = new ImageCache();
-    private long leaderProbeAt = Long.MIN_VALUE / 2;
+    private long lastLeaderProbeAt = Long.MIN_VALUE / 2;
     private long idleSince;
     private long lastListedAt = -1;
     private boolean terminated;
@@ -107,7 +107,7 @@
 
     /** Takes in a heartbeat unless it is stale: late copies change nothing. */
     public HeartbeatChange accept(Heartbeat heartbeat, long leaseMs, long now) {
-        if (!lastHeartbeat.isFollowedBy(heartbeat)) {
+        if (!lastHeartbeat.precedes(heartbeat)) {
             return HeartbeatChange.STALE;
         }
         if (downlink.observe(heartbeat, lastHeartbeat, leaseMs, now) == Downlink.Observation.UNREACHABLE) {
@@ -116,16 +116,16 @@
         if (heartbeat.incarnation() > lastHeartbeat.incarnation()) {
             history.forgetLaunches();
         }
-        Map<AttemptId, TaskStatus> listing = new HashMap<>();
+        Map<AttemptId, TaskStatus> listedTasks = new HashMap<>();
         for (TaskStatus status : heartbeat.tasks()) {
             AttemptId attemptId = status.attemptId();
-            listing.put(attemptId, status);
+            listedTasks.put(attemptId, status);
             history.observe(attemptId, status.phase(), now);
         }
-        if (!lastHeartbeat.replaceBy(heartbeat, listing, now)) {
+        if (!lastHeartbeat.replaceWith(heartbeat, listedTasks, now)) {
             return HeartbeatChange.UNCHANGED;
         }
-        history.retainRunTimes(listing.keySet());
+        history.retainRunTimes(listedTasks.keySet());
         return HeartbeatChange.CHANGED;
     }
 
@@ -154,15 +154,15 @@
      * neither misses a newer leader nor loses its lease.
      */
     public boolean shouldProbeForLeader(long now, long periodMs) {
-        if (now - leaderProbeAt <= periodMs) {
+        if (now - lastLeaderProbeAt <= periodMs) {
             return false;
         }
-        leaderProbeAt = now;
+        lastLeaderProbeAt = now;
         return true;
     }
 
     /** How far the machine's token is raised above the lowest one of the present leadership. */
-    public long earlyHeartbeatRequests() {
+    public long tokenIncrements() {
         return earlyHeartbeats.tokenIncrements();
     }
 
@@ -263,7 +263,7 @@
     }
 
     /** Notes the use of an image, dropping the least recently used ones over the cache's size. */
-    public void recordImageUse(String image, double gb, double cacheGb) {
-        images.recordUse(image, gb, cacheGb);
+    public void recordImageUse(String image, double sizeGb, double cacheGb) {
+        images.recordUse(image, sizeGb, cacheGb);
     }
 }
--- a/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
@@ -54,13 +54,13 @@
                 return;
             }
             if (!isKnown()) {
-                readStored();
+                readFromStore();
             }
             loop.after(Constants.Time.RETRY_MS * 2, this::start);
         });
     }
 
-    private void readStored() {
+    private void readFromStore() {
         store.acquireWithDebt(0);
         store.get(KEY, read -> {
             if (read.answered() && read.value().exists() && !isKnown()) {
@@ -87,21 +87,21 @@
 
     /** Returns false, without effect, when the reply names no type. */
     private boolean replaceTypes(JsonNode reply) {
-        Map<String, MachineType> read = MachineTypeCodec.parse(reply);
-        if (read.isEmpty()) {
+        Map<String, MachineType> newTypes = MachineTypeCodec.parse(reply);
+        if (newTypes.isEmpty()) {
             return false;
         }
-        types = read;
+        types = newTypes;
         if (!readFromCloud) {
             readFromCloud = true;
             LOG.info("Read machine types from cloud: types={}", types.keySet());
-            store(reply);
+            writeToStore(reply);
         }
         return true;
     }
 
     /** Stores the reply once for nodes that start while the cloud is unreachable; all but prices in it is constant. */
-    private void store(JsonNode reply) {
+    private void writeToStore(JsonNode reply) {
         Transaction transaction = new Transaction().requireVersion(KEY, 0).put(KEY, reply);
         if (store.tryAcquire(1)) {
             store.commit(transaction, result -> {});
--- a/src/main/java/org/spoolline/scheduler/ArrayPreemption.java
+++ b/src/main/java/org/spoolline/scheduler/ArrayPreemption.java
@@ -29,23 +29,23 @@
     }
 
     /** Machines with victims for up to so many tasks; empty when there are none or the job has zone constraints. */
-    List<Victim.Group> choose(Pipeline job, int tasks) {
+    List<Victim.OnMachine> choose(Pipeline job, int tasks) {
         Submission spec = job.spec();
         if (spec.singleZone() || spec.spreadAcrossZones()) {
             return List.of();
         }
-        List<Victim.Group> chosen = new ArrayList<>();
-        int served = 0;
+        List<Victim.OnMachine> chosen = new ArrayList<>();
+        int tasksWithCapacity = 0;
         for (SchedulableMachine machine : candidates(job)) {
-            if (served >= tasks) {
+            if (tasksWithCapacity >= tasks) {
                 break;
             }
             Capacity free = machine.copy();
-            List<Victim> evicted = evict(job, machine, free, tasks - served);
+            List<Victim> evicted = evict(job, machine, free, tasks - tasksWithCapacity);
             int fitting = fittingTasks(spec, free, tasks);
             if (!evicted.isEmpty() && fitting > 0) {
-                chosen.add(new Victim.Group(machine, evicted, 0));
-                served += fitting;
+                chosen.add(new Victim.OnMachine(machine, evicted, 0));
+                tasksWithCapacity += fitting;
             }
         }
         return chosen;
@@ -57,7 +57,7 @@
         for (SchedulableMachine machine : machines) {
             if (!machine.isReserved()
                     && machine.accepts(job)
-                    && !victims.on(machine.name()).isEmpty()) {
+                    && !victims.onMachine(machine.name()).isEmpty()) {
                 candidates.add(machine);
             }
         }
@@ -69,7 +69,7 @@
     /** Releases victims on the machine into {@code free} until it has the cores for so many tasks; returns them. */
     private List<Victim> evict(Pipeline job, SchedulableMachine machine, Capacity free, int tasks) {
         List<Victim> evicted = new ArrayList<>();
-        for (Victim victim : victims.on(machine.name())) {
+        for (Victim victim : victims.onMachine(machine.name())) {
             if (Math.floor(free.cores() / job.spec().cores()) >= tasks) {
                 break;
             }
--- a/src/main/java/org/spoolline/scheduler/CapacityAccumulation.java
+++ b/src/main/java/org/spoolline/scheduler/CapacityAccumulation.java
@@ -23,20 +23,21 @@
     static List<SchedulableMachine> choose(Pipeline gang, List<SchedulableMachine> machines) {
         List<SchedulableMachine> best = List.of();
         double mostFree = -1;
-        for (List<SchedulableMachine> group : groups(gang, machines)) {
-            List<SchedulableMachine> emptiest = emptiest(gang.spec(), group);
+        for (List<SchedulableMachine> group : machinesByZone(gang, machines)) {
+            List<SchedulableMachine> leastUsed = leastUsed(gang.spec(), group);
             double free =
-                    emptiest.stream().mapToDouble(SchedulableMachine::cores).sum();
+                    leastUsed.stream().mapToDouble(SchedulableMachine::cores).sum();
             if (free > mostFree) {
                 mostFree = free;
-                best = emptiest;
+                best = leastUsed;
             }
         }
         return best;
     }
 
     /** The usable machines by zone, or all in one group for a gang that may span zones. */
-    private static Collection<List<SchedulableMachine>> groups(Pipeline gang, List<SchedulableMachine> machines) {
+    private static Collection<List<SchedulableMachine>> machinesByZone(
+            Pipeline gang, List<SchedulableMachine> machines) {
         Submission spec = gang.spec();
         Map<String, List<SchedulableMachine>> byZone = new LinkedHashMap<>();
         for (SchedulableMachine machine : machines) {
@@ -49,7 +50,7 @@
     }
 
     /** As many machines as the gang needs when they are empty, those with the fewest cores in use first. */
-    private static List<SchedulableMachine> emptiest(Submission gang, List<SchedulableMachine> group) {
+    private static List<SchedulableMachine> leastUsed(Submission gang, List<SchedulableMachine> group) {
         group.sort(Comparator.comparingDouble((SchedulableMachine m) -> m.type().cores() - m.cores())
                 .thenComparing(SchedulableMachine::name));
         int needed = 0;
--- a/src/main/java/org/spoolline/scheduler/CapacityScaler.java
+++ b/src/main/java/org/spoolline/scheduler/CapacityScaler.java
@@ -23,13 +23,15 @@
 
     /** Scales out for the plan's demands and in where no work is or is expected. */
     void scale(SchedulingPlan plan, CycleState state) {
-        Set<String> expectingWork = machinesOfProposedAttempts();
-        expectingWork.addAll(plan.accumulating());
-        reservations.addMachinesTo(expectingWork);
-        double recentCores =
+        Set<String> machinesExpectingWork = machinesOfProposedAttempts();
+        machinesExpectingWork.addAll(plan.accumulating());
+        reservations.addMachinesTo(machinesExpectingWork);
+        double recentDemandCores =
                 ClusterSnapshot.recentlyRequestedCores(state.workingJobs().values(), loop.timeOfDay());
         autoscaler.reconcile(
-                plan.demands(), recentCores, name -> jobs.hasAttemptsOn(name) || expectingWork.contains(name));
+                plan.demands(),
+                recentDemandCores,
+                name -> jobs.hasAttemptsOn(name) || machinesExpectingWork.contains(name));
     }
 
     private Set<String> machinesOfProposedAttempts() {
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
@@ -18,14 +18,14 @@
  * @param jobs                   live pipelines as they stand after this cycle's reconciliation
  * @param pendingWriteAttempts   by job id, for jobs whose write is in flight: the attempts of the committed and of the
  *                               proposed pipeline, since either set may occupy capacity
- * @param placeable              ids of the jobs that may be changed in this cycle
+ * @param placeableJobs              ids of the jobs that may be changed in this cycle
  * @param machinesByName         every machine known, by name
- * @param schedulable            machines that accept launches now
- * @param reservedFor            by machine name: the id of the job that the machine is being cleared for
+ * @param schedulableMachines            machines that accept launches now
+ * @param reservedJobsByMachine            by machine name: the id of the job that the machine is being cleared for
  * @param gangsPreemptedForImage ids of the gangs that machines with their image were already cleared for; this happens
  *                               once for each gang
  * @param inheritedPriorities    by job id, for jobs that others depend on: the highest priority among the dependents
- * @param types                  machine types by name
+ * @param machineTypes                  machine types by name
  * @param mayConsolidate         true when the tasks of the last consolidation have had time to move
  * @param timeOfDay              wall-clock time in ms, as in the jobs' times
  * @param now                    the event loop's steady clock in ms, as in the machines' times
@@ -33,13 +33,13 @@
 record ClusterSnapshot(
         List<Pipeline> jobs,
         Map<String, List<Attempt>> pendingWriteAttempts,
-        Set<String> placeable,
+        Set<String> placeableJobs,
         Map<String, Machine> machinesByName,
-        List<Machine> schedulable,
-        Map<String, String> reservedFor,
+        List<Machine> schedulableMachines,
+        Map<String, String> reservedJobsByMachine,
         Set<String> gangsPreemptedForImage,
         Map<String, Submission.Priority> inheritedPriorities,
-        Map<String, MachineType> types,
+        Map<String, MachineType> machineTypes,
         Settings settings,
         boolean mayConsolidate,
         long timeOfDay,
@@ -47,8 +47,8 @@
 
     /** Attempts of the job that occupy capacity, or may do so. */
     Collection<Attempt> occupyingAttempts(Pipeline job) {
-        List<Attempt> pending = pendingWriteAttempts.get(job.jobId());
-        return pending == null ? job.attempts() : pending;
+        List<Attempt> ofPendingWrite = pendingWriteAttempts.get(job.jobId());
+        return ofPendingWrite == null ? job.attempts() : ofPendingWrite;
     }
 
     /** True for a gang of which some members are placed already, so that only the others need machines. */
@@ -58,7 +58,7 @@
 
     /** True when machines are being cleared for the job. */
     boolean hasReservation(Pipeline job) {
-        return reservedFor.containsValue(job.jobId());
+        return reservedJobsByMachine.containsValue(job.jobId());
     }
 
     /** The job's own priority or the highest one among the jobs that depend on it, whichever is higher. */
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
@@ -43,28 +43,28 @@
      * Builds a snapshot of the present moment.
      *
      * @param workingJobs    jobs that take part in the plan, by id
-     * @param fullJobs       jobs whose value can't take more attempts for now
+     * @param jobsWithFullValue       jobs whose value can't take more attempts for now
      * @param mayConsolidate true when the plan may evacuate machines
      */
-    ClusterSnapshot build(Map<String, Pipeline> workingJobs, JobPauses fullJobs, boolean mayConsolidate) {
-        Map<String, List<Attempt>> holding = new HashMap<>();
-        Set<String> placeable = new HashSet<>();
-        for (Map.Entry<String, Pipeline> working : workingJobs.entrySet()) {
-            String jobId = working.getKey();
+    ClusterSnapshot build(Map<String, Pipeline> workingJobs, JobPauses jobsWithFullValue, boolean mayConsolidate) {
+        Map<String, List<Attempt>> pendingWriteAttempts = new HashMap<>();
+        Set<String> placeableJobs = new HashSet<>();
+        for (Map.Entry<String, Pipeline> workingJob : workingJobs.entrySet()) {
+            String jobId = workingJob.getKey();
             JobEntry entry = jobs.get(jobId);
             if (entry.inFlight()) {
-                holding.put(jobId, committedAndProposedAttempts(entry));
-            } else if (canTakeTasks(working.getValue()) && !fullJobs.isPaused(jobId)) {
-                placeable.add(jobId);
+                pendingWriteAttempts.put(jobId, committedAndProposedAttempts(entry));
+            } else if (canPlaceTasks(workingJob.getValue()) && !jobsWithFullValue.isPaused(jobId)) {
+                placeableJobs.add(jobId);
             }
         }
         return new ClusterSnapshot(
                 List.copyOf(workingJobs.values()),
-                holding,
-                placeable,
+                pendingWriteAttempts,
+                placeableJobs,
                 machines.byName(),
                 machines.schedulable(loop.now(), settings.heartbeatOverdueMs()),
-                reservations.jobsByMachine(),
+                reservations.reservedJobsByMachine(),
                 reservations.gangsPreemptedForImage(),
                 dependencies.inheritedPriorities(),
                 catalog.types(),
@@ -85,14 +85,14 @@
      * A gang that lacks members is completed once those it has wait with their image, so that none waits long. A machine
      * that still reports an ended member would take the next launch of the same attempt number for a repetition.
      */
-    private boolean canTakeTasks(Pipeline job) {
+    private boolean canPlaceTasks(Pipeline job) {
         if (!job.spec().gang() || job.attempts().isEmpty()) {
             return true;
         }
-        return allMembersWait(job) && noReservedMachineReportsExited(job.jobId());
+        return allMembersWaitForGang(job) && noReservedMachineListsExitedTask(job.jobId());
     }
 
-    private boolean allMembersWait(Pipeline gang) {
+    private boolean allMembersWaitForGang(Pipeline gang) {
         for (Attempt attempt : gang.attempts()) {
             if (phases.lastReported(gang.jobId(), attempt) != TaskStatus.Phase.WAITING_FOR_GANG) {
                 return false;
@@ -101,17 +101,17 @@
         return true;
     }
 
-    private boolean noReservedMachineReportsExited(String jobId) {
-        for (String name : reservations.machinesOf(jobId)) {
+    private boolean noReservedMachineListsExitedTask(String jobId) {
+        for (String name : reservations.machinesReservedFor(jobId)) {
             Machine machine = machines.get(name);
-            if (machine != null && !machine.terminated() && reportsExited(machine, jobId)) {
+            if (machine != null && !machine.terminated() && listsExitedTask(machine, jobId)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean reportsExited(Machine machine, String jobId) {
+    private static boolean listsExitedTask(Machine machine, String jobId) {
         for (TaskStatus status : machine.tasks().values()) {
             if (status.phase() == TaskStatus.Phase.EXITED && status.jobId().equals(jobId)) {
                 return true;
--- a/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
@@ -31,8 +31,8 @@
     private final ClusterSnapshot snapshot;
     private final List<SchedulableMachine> machines;
     private final Map<String, List<RunningTask>> tasksByMachine = new HashMap<>();
-    private final Set<String> evacuated = new LinkedHashSet<>();
-    private final Set<String> receiving = new LinkedHashSet<>();
+    private final Set<String> evacuatedMachines = new LinkedHashSet<>();
+    private final Set<String> receivingMachines = new LinkedHashSet<>();
 
     private ConsolidationPlanner(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
         this.snapshot = snapshot;
@@ -44,7 +44,7 @@
      *
      * @param machines schedulable machines with the capacity that all attempts leave free
      */
-    static Set<String> evacuated(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
+    static Set<String> machinesToEvacuate(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
         return new ConsolidationPlanner(snapshot, machines).evacuate();
     }
 
@@ -56,12 +56,12 @@
         collectTasks();
         List<SchedulableMachine> targets = targets();
         for (SchedulableMachine source : sources()) {
-            boolean isTarget = receiving.contains(source.name());
+            boolean isTarget = receivingMachines.contains(source.name());
             if (source.type().cores() <= spareCores && !isTarget && moveTasks(source, targets)) {
                 spareCores -= source.type().cores();
             }
         }
-        return evacuated;
+        return evacuatedMachines;
     }
 
     /** Free cores beyond those that are kept for the next jobs. */
@@ -114,11 +114,11 @@
         List<RunningTask> tasks = tasksByMachine.getOrDefault(machine.name(), List.of());
         return !tasks.isEmpty()
                 && machine.utilization() <= Constants.Placement.CONSOLIDATION_UTILIZATION_MAX
-                && tasks.stream().allMatch(this::canMove);
+                && tasks.stream().allMatch(this::canBeMoved);
     }
 
     /** True for a task with checkpoints, of an array, that has run for a while and is expected to go on for a while. */
-    private boolean canMove(RunningTask task) {
+    private boolean canBeMoved(RunningTask task) {
         Submission spec = task.spec();
         Machine machine = snapshot.machinesByName().get(task.attempt().machine());
         AttemptId attemptId = AttemptId.of(task.job().jobId(), task.attempt());
@@ -142,8 +142,8 @@
             target.get().allocate(task.spec());
             moved.computeIfAbsent(target.get(), machine -> new ArrayList<>()).add(task.spec());
         }
-        evacuated.add(source.name());
-        moved.keySet().forEach(machine -> receiving.add(machine.name()));
+        evacuatedMachines.add(source.name());
+        moved.keySet().forEach(machine -> receivingMachines.add(machine.name()));
         return true;
     }
 
@@ -157,7 +157,7 @@
             boolean zoneAllowed = !spec.singleZone() || target.zone().equals(source.zone());
             if (target != source
                     && zoneAllowed
-                    && !evacuated.contains(target.name())
+                    && !evacuatedMachines.contains(target.name())
                     && target.accepts(task.job())
                     && target.fits(spec)
                     && target.hasImage(spec)) {
--- a/src/main/java/org/spoolline/scheduler/FairShares.java
+++ b/src/main/java/org/spoolline/scheduler/FairShares.java
@@ -18,17 +18,17 @@
     /**
      * Shares without any usage yet.
      *
-     * @param jobsByRelease unfinished jobs, earliest release first: in this order they claim their team's guaranteed
+     * @param jobsByEligibleTime unfinished jobs, earliest release first: in this order they claim their team's guaranteed
      *                      share
      */
-    FairShares(Map<String, Settings.Team> teams, List<Pipeline> jobsByRelease) {
+    FairShares(Map<String, Settings.Team> teams, List<Pipeline> jobsByEligibleTime) {
         this.teams = teams;
-        assignGuaranteedShares(jobsByRelease);
+        assignGuaranteedShares(jobsByEligibleTime);
     }
 
-    private void assignGuaranteedShares(List<Pipeline> jobsByRelease) {
+    private void assignGuaranteedShares(List<Pipeline> jobsByEligibleTime) {
         Map<String, TeamUsage> requested = new HashMap<>();
-        for (Pipeline job : jobsByRelease) {
+        for (Pipeline job : jobsByEligibleTime) {
             Submission spec = job.spec();
             Settings.Team team = teams.get(spec.team());
             if (team == null || job.succeeded() || job.cancelled()) {
--- a/src/main/java/org/spoolline/scheduler/GangLaunchOrder.java
+++ b/src/main/java/org/spoolline/scheduler/GangLaunchOrder.java
@@ -18,7 +18,7 @@
     private final JobTable jobs;
     private final TaskPhases phases;
     /** Gang tasks whose machine has the image, which are launched after the others, by job. */
-    private final Map<String, Set<AttemptId>> launchedLast = new HashMap<>();
+    private final Map<String, Set<AttemptId>> membersLaunchedLast = new HashMap<>();
 
     GangLaunchOrder(JobTable jobs, TaskPhases phases) {
         this.jobs = jobs;
@@ -27,33 +27,33 @@
 
     /** Forgets the gangs of an earlier term. */
     void clear() {
-        launchedLast.clear();
+        membersLaunchedLast.clear();
     }
 
     /** Records a placed gang: these of its tasks are on machines that have the image. */
-    void launchAfterPeers(String jobId, Set<AttemptId> withImage) {
-        launchedLast.put(jobId, withImage);
+    void launchLast(String jobId, Set<AttemptId> membersWithImage) {
+        membersLaunchedLast.put(jobId, membersWithImage);
     }
 
     /** Forgets a gang that has reached a terminal state. */
     void forget(String jobId) {
-        launchedLast.remove(jobId);
+        membersLaunchedLast.remove(jobId);
     }
 
     /** False while the task is not to be launched yet, because members without their image are still fetching it. */
     boolean mayLaunch(AttemptId attemptId) {
-        Set<AttemptId> withImage = launchedLast.get(attemptId.jobId());
-        if (withImage == null || !withImage.contains(attemptId)) {
+        Set<AttemptId> membersWithImage = membersLaunchedLast.get(attemptId.jobId());
+        if (membersWithImage == null || !membersWithImage.contains(attemptId)) {
             return true;
         }
         JobEntry entry = jobs.get(attemptId.jobId());
-        return entry == null || !anyFetchesImage(entry, withImage);
+        return entry == null || !anyMemberFetchesImage(entry, membersWithImage);
     }
 
-    private boolean anyFetchesImage(JobEntry gang, Set<AttemptId> withImage) {
+    private boolean anyMemberFetchesImage(JobEntry gang, Set<AttemptId> membersWithImage) {
         String jobId = gang.committed().jobId();
         for (Attempt attempt : gang.committed().attempts()) {
-            if (!withImage.contains(AttemptId.of(jobId, attempt))
+            if (!membersWithImage.contains(AttemptId.of(jobId, attempt))
                     && phases.lastReported(jobId, attempt) == TaskStatus.Phase.FETCHING_IMAGE) {
                 return true;
             }
--- a/src/main/java/org/spoolline/scheduler/GangPreemption.java
+++ b/src/main/java/org/spoolline/scheduler/GangPreemption.java
@@ -27,15 +27,16 @@
      * The cheapest machines among those allowed, one for each task of the gang and in one zone where the job requires
      * that; empty when there are too few.
      */
-    List<Victim.Group> choose(Pipeline gang, Predicate<SchedulableMachine> allowed) {
+    List<Victim.OnMachine> choose(Pipeline gang, Predicate<SchedulableMachine> allowed) {
         if (!gang.spec().singleZone()) {
             return cheapest(gang, allowed);
         }
         Set<String> zones = new LinkedHashSet<>();
         machines.forEach(machine -> zones.add(machine.zone()));
-        List<Victim.Group> best = List.of();
+        List<Victim.OnMachine> best = List.of();
         for (String zone : zones) {
-            List<Victim.Group> inZone = cheapest(gang, machine -> machine.zone().equals(zone) && allowed.test(machine));
+            List<Victim.OnMachine> inZone =
+                    cheapest(gang, machine -> machine.zone().equals(zone) && allowed.test(machine));
             if (!inZone.isEmpty() && (best.isEmpty() || totalCost(inZone) < totalCost(best))) {
                 best = inZone;
             }
@@ -44,29 +45,29 @@
     }
 
     /** Core seconds that clearing all these machines costs. */
-    static double totalCost(List<Victim.Group> groups) {
-        return groups.stream().mapToDouble(Victim.Group::cost).sum();
+    static double totalCost(List<Victim.OnMachine> machinesWithVictims) {
+        return machinesWithVictims.stream().mapToDouble(Victim.OnMachine::cost).sum();
     }
 
-    private List<Victim.Group> cheapest(Pipeline gang, Predicate<SchedulableMachine> allowed) {
-        List<Victim.Group> groups = new ArrayList<>();
+    private List<Victim.OnMachine> cheapest(Pipeline gang, Predicate<SchedulableMachine> allowed) {
+        List<Victim.OnMachine> machinesWithVictims = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
             if (machine.accepts(gang) && !machine.isReserved() && allowed.test(machine)) {
-                victimsFor(gang, machine).ifPresent(groups::add);
+                victimsFor(gang, machine).ifPresent(machinesWithVictims::add);
             }
         }
         int tasks = gang.spec().tasks();
-        if (groups.size() < tasks) {
+        if (machinesWithVictims.size() < tasks) {
             return List.of();
         }
-        groups.sort(Comparator.comparingDouble(Victim.Group::cost));
-        List<Victim.Group> cheapest = groups.subList(0, tasks);
+        machinesWithVictims.sort(Comparator.comparingDouble(Victim.OnMachine::cost));
+        List<Victim.OnMachine> cheapest = machinesWithVictims.subList(0, tasks);
         // A machine type without a fetch rate makes the cost infinite.
         return totalCost(cheapest) < Double.MAX_VALUE ? cheapest : List.of();
     }
 
     /** The victims that make way for one task of the gang, least loss first; empty when they don't suffice. */
-    private Optional<Victim.Group> victimsFor(Pipeline gang, SchedulableMachine machine) {
+    private Optional<Victim.OnMachine> victimsFor(Pipeline gang, SchedulableMachine machine) {
         Submission spec = gang.spec();
         Capacity free = machine.copy();
         List<Victim> evicted = new ArrayList<>();
@@ -79,15 +80,15 @@
             free.release(victim.spec());
             cost += victim.loss();
         }
-        return free.fits(spec) ? Optional.of(new Victim.Group(machine, evicted, cost)) : Optional.empty();
+        return free.fits(spec) ? Optional.of(new Victim.OnMachine(machine, evicted, cost)) : Optional.empty();
     }
 
     private List<Victim> victimsOfLowerPriority(Pipeline gang, SchedulableMachine machine) {
-        List<Victim> lower = new ArrayList<>(victims.on(machine.name()));
-        lower.removeIf(victim -> snapshot.priority(victim.job()).compareTo(snapshot.priority(gang)) >= 0);
-        if (lower.size() > 1) {
-            lower.sort(Comparator.comparingDouble(Victim::loss));
+        List<Victim> candidates = new ArrayList<>(victims.onMachine(machine.name()));
+        candidates.removeIf(victim -> snapshot.priority(victim.job()).compareTo(snapshot.priority(gang)) >= 0);
+        if (candidates.size() > 1) {
+            candidates.sort(Comparator.comparingDouble(Victim::loss));
         }
-        return lower;
+        return candidates;
     }
 }
--- a/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
+++ b/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
@@ -73,7 +73,7 @@
             fullJobs.pause(jobId, Constants.Cycle.VALUE_FULL_BACKOFF_MS);
         }
         if (next.spec().gang()) {
-            gangLaunches.launchAfterPeers(jobId, withImage);
+            gangLaunches.launchLast(jobId, withImage);
         }
         if (!added.isEmpty()) {
             counters.count(Event.TASK_PLACED, added.size());
--- a/src/main/java/org/spoolline/scheduler/MachineSelector.java
+++ b/src/main/java/org/spoolline/scheduler/MachineSelector.java
@@ -54,14 +54,14 @@
         Submission spec = job.spec();
         // Members that wait already would give up before one with a long image fetch is ready. The gang would then
         // start over as a whole, and launch the members on the machines with the image last.
-        boolean limitsFetch = snapshot.isPartlyPlacedGang(job);
+        boolean limitsFetchTime = snapshot.isPartlyPlacedGang(job);
         double maxFetchS =
                 snapshot.settings().workers().gangWaitMs() / 1000.0 * Constants.Placement.GANG_COMPLETION_FETCH_SHARE;
         List<SchedulableMachine> candidates = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
             if (machine.accepts(job)
                     && machine.fits(spec)
-                    && (!limitsFetch || machine.imageFetchS(spec) <= maxFetchS)) {
+                    && (!limitsFetchTime || machine.imageFetchS(spec) <= maxFetchS)) {
                 candidates.add(machine);
             }
         }
@@ -88,12 +88,12 @@
         Submission spec = job.spec();
         List<SchedulableMachine> best = List.of();
         for (String zone : usableZones(job, candidates)) {
-            List<SchedulableMachine> tried = allocateInOrder(job, inZone(candidates, zone), count);
-            if (tried.size() > best.size()) {
+            List<SchedulableMachine> allocated = allocateInOrder(job, inZone(candidates, zone), count);
+            if (allocated.size() > best.size()) {
                 release(spec, best);
-                best = tried;
+                best = allocated;
             } else {
-                release(spec, tried);
+                release(spec, allocated);
             }
             if (best.size() == count) {
                 return best;
@@ -140,7 +140,7 @@
         for (SchedulableMachine machine : candidates) {
             while (chosen.size() < count
                     && machine.fits(spec)
-                    && tasksCountedIn(machine.zone(), tasksByZone) < spec.maxTasksPerZone()) {
+                    && taskCount(machine.zone(), tasksByZone) < spec.maxTasksPerZone()) {
                 machine.allocate(spec);
                 chosen.add(machine);
                 if (spec.spreadAcrossZones()) {
@@ -151,7 +151,7 @@
         return chosen;
     }
 
-    private static int tasksCountedIn(String zone, Map<String, Integer> tasksByZone) {
+    private static int taskCount(String zone, Map<String, Integer> tasksByZone) {
         return tasksByZone.getOrDefault(zone, 0) + tasksByZone.getOrDefault(UNKNOWN_ZONE, 0);
     }
 
--- a/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
@@ -24,7 +24,7 @@
  */
 final class PlacementPlanner {
     private final ClusterSnapshot snapshot;
-    private final List<Pipeline> jobsByRelease;
+    private final List<Pipeline> jobsByEligibleTime;
     private final FairShares fairShares;
     private final List<SchedulableMachine> machines;
     private final MachineSelector selector;
@@ -32,15 +32,15 @@
     private final Map<String, List<Placement>> placements = new LinkedHashMap<>();
     private final List<ResourceDemand> demands = new ArrayList<>();
     /** Teams that launch nothing more, so that a starving gang can have most of its team's limit. */
-    private final Set<String> teamsHeldBack = new HashSet<>();
+    private final Set<String> teamsWithLaunchesPaused = new HashSet<>();
     /** Names of the machines on which capacity accumulates for a starving gang. */
-    private final Set<String> accumulating = new LinkedHashSet<>();
+    private final Set<String> accumulatingMachines = new LinkedHashSet<>();
 
     private PlacementPlanner(ClusterSnapshot snapshot) {
         this.snapshot = snapshot;
-        jobsByRelease = new ArrayList<>(snapshot.jobs());
-        jobsByRelease.sort(Comparator.comparingLong(Pipeline::eligibleAt).thenComparing(Pipeline::jobId));
-        fairShares = new FairShares(snapshot.settings().teams(), jobsByRelease);
+        jobsByEligibleTime = new ArrayList<>(snapshot.jobs());
+        jobsByEligibleTime.sort(Comparator.comparingLong(Pipeline::eligibleAt).thenComparing(Pipeline::jobId));
+        fairShares = new FairShares(snapshot.settings().teams(), jobsByEligibleTime);
         machines = schedulableMachines(snapshot);
         selector = new MachineSelector(snapshot, machines);
         preemptionPlanner = new PreemptionPlanner(snapshot, machines, fairShares);
@@ -56,11 +56,11 @@
     /** Machines whose type is unknown take no part, since their capacity is unknown too. */
     private static List<SchedulableMachine> schedulableMachines(ClusterSnapshot snapshot) {
         List<SchedulableMachine> machines = new ArrayList<>();
-        for (Machine machine : snapshot.schedulable()) {
-            MachineType type = snapshot.types().get(machine.type());
+        for (Machine machine : snapshot.schedulableMachines()) {
+            MachineType type = snapshot.machineTypes().get(machine.type());
             if (type != null) {
-                String reservedFor = snapshot.reservedFor().get(machine.name());
-                machines.add(new SchedulableMachine(machine, type, reservedFor));
+                String reservedForJob = snapshot.reservedJobsByMachine().get(machine.name());
+                machines.add(new SchedulableMachine(machine, type, reservedForJob));
             }
         }
         return machines;
@@ -92,16 +92,18 @@
             }
         }
         List<Preemption> preemptions = preemptionPlanner.preempt(demands);
-        return new SchedulingPlan(placements, demands, preemptions, accumulating, machinesToEvacuate());
+        return new SchedulingPlan(placements, demands, preemptions, accumulatingMachines, machinesToEvacuate());
     }
 
     private Set<String> machinesToEvacuate() {
-        boolean idle = demands.isEmpty() && placements.isEmpty();
-        return idle && snapshot.mayConsolidate() ? ConsolidationPlanner.evacuated(snapshot, machines) : Set.of();
+        boolean nothingToPlace = demands.isEmpty() && placements.isEmpty();
+        return nothingToPlace && snapshot.mayConsolidate()
+                ? ConsolidationPlanner.machinesToEvacuate(snapshot, machines)
+                : Set.of();
     }
 
     private List<Pipeline> jobsInPlanningOrder() {
-        List<Pipeline> ordered = new ArrayList<>(jobsByRelease);
+        List<Pipeline> ordered = new ArrayList<>(jobsByEligibleTime);
         ordered.sort(Comparator.<Pipeline>comparingInt(job -> isStarving(job) ? 0 : 1)
                 .thenComparingInt(job -> fairShares.isWithinShare(job) ? 0 : 1)
                 .thenComparing(snapshot::priority, Comparator.reverseOrder()));
@@ -110,66 +112,66 @@
 
     /** True for a job that has been eligible for long without a launch: a stream of others could delay it for ever. */
     private boolean isStarving(Pipeline job) {
-        return !job.hasStarted() && eligibleMs(job) > Constants.Placement.STARVATION_MS;
+        return !job.hasStarted() && eligibleForMs(job) > Constants.Placement.STARVATION_MS;
     }
 
     /** True for a starving gang, except for one that others have already waited for long enough. */
     private boolean mayAccumulateCapacity(Pipeline job) {
         return job.spec().gang()
                 && isStarving(job)
-                && eligibleMs(job) < Constants.Placement.CAPACITY_ACCUMULATION_UNTIL_MS;
+                && eligibleForMs(job) < Constants.Placement.CAPACITY_ACCUMULATION_UNTIL_MS;
     }
 
-    private long eligibleMs(Pipeline job) {
+    private long eligibleForMs(Pipeline job) {
         return snapshot.timeOfDay() - job.eligibleAt();
     }
 
     private void place(Pipeline job) {
         Submission spec = job.spec();
-        int limit = launchLimit(job);
-        boolean accumulates = mayAccumulateCapacity(job);
-        if (accumulates && limit < job.unplacedTaskCount()) {
-            teamsHeldBack.add(spec.team());
+        int launchLimit = launchLimit(job);
+        boolean mayAccumulate = mayAccumulateCapacity(job);
+        if (mayAccumulate && launchLimit < job.unplacedTaskCount()) {
+            teamsWithLaunchesPaused.add(spec.team());
         }
-        if (!mayLaunch(job, limit)) {
+        if (!mayLaunch(job, launchLimit)) {
             return;
         }
-        List<SchedulableMachine> chosen = selector.allocate(job, limit);
-        if (waitsForMachinesWithImage(job, chosen)) {
+        List<SchedulableMachine> chosen = selector.allocate(job, launchLimit);
+        if (shouldWaitForMachinesWithImage(job, chosen)) {
             MachineSelector.release(spec, chosen);
             return;
         }
-        int placed = recordPlacements(job, chosen);
-        if (placed == 0 && accumulates && accumulating.isEmpty()) {
+        int placedCount = recordPlacements(job, chosen);
+        if (placedCount == 0 && mayAccumulate && accumulatingMachines.isEmpty()) {
             accumulateCapacity(job);
         }
-        if (placed < limit) {
-            demands.add(new ResourceDemand(job, limit - placed, fairShares.isWithinShare(job)));
+        if (placedCount < launchLimit) {
+            demands.add(new ResourceDemand(job, launchLimit - placedCount, fairShares.isWithinShare(job)));
         }
     }
 
     /** How many tasks of the job may be launched now as far as its team's limits allow. */
     private int launchLimit(Pipeline job) {
         Submission spec = job.spec();
-        int headroom = teamsHeldBack.contains(spec.team()) ? 0 : fairShares.headroom(spec);
+        int headroom = teamsWithLaunchesPaused.contains(spec.team()) ? 0 : fairShares.headroom(spec);
         // One launch ends the starvation of an array, which then takes its usual place in the order.
         int tasks = isStarving(job) && !spec.gang() ? 1 : job.unplacedTaskCount();
         return Math.min(tasks, headroom);
     }
 
-    private boolean mayLaunch(Pipeline job, int limit) {
-        boolean gangExceedsLimit = job.spec().gang() && limit < job.unplacedTaskCount();
-        return limit > 0
+    private boolean mayLaunch(Pipeline job, int launchLimit) {
+        boolean gangExceedsLimit = job.spec().gang() && launchLimit < job.unplacedTaskCount();
+        return launchLimit > 0
                 && !gangExceedsLimit
                 && job.notBefore() <= snapshot.timeOfDay()
-                && snapshot.placeable().contains(job.jobId());
+                && snapshot.placeableJobs().contains(job.jobId());
     }
 
     /**
      * True when an urgent gang should rather start on machines that have its image, which are being cleared for it or
      * are cleared from now on.
      */
-    private boolean waitsForMachinesWithImage(Pipeline job, List<SchedulableMachine> chosen) {
+    private boolean shouldWaitForMachinesWithImage(Pipeline job, List<SchedulableMachine> chosen) {
         if (snapshot.isPartlyPlacedGang(job) || !preemptionPlanner.isUrgentGang(job)) {
             return false;
         }
@@ -203,7 +205,7 @@
     private void accumulateCapacity(Pipeline gang) {
         for (SchedulableMachine machine : CapacityAccumulation.choose(gang, machines)) {
             machine.reserve(gang.jobId());
-            accumulating.add(machine.name());
+            accumulatingMachines.add(machine.name());
         }
     }
 }
--- a/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
@@ -49,7 +49,7 @@
     boolean preemptForImage(Pipeline gang, double fetchS) {
         Submission spec = gang.spec();
         victims.collect(job -> true);
-        List<Victim.Group> chosen = gangPreemption.choose(gang, machine -> machine.hasImage(spec));
+        List<Victim.OnMachine> chosen = gangPreemption.choose(gang, machine -> machine.hasImage(spec));
         double lost = GangPreemption.totalCost(chosen);
         if (chosen.isEmpty() || lost >= fetchS * spec.cores() * spec.tasks()) {
             return false;
@@ -67,7 +67,7 @@
             }
             collectVictims(demands);
             Pipeline job = demand.job();
-            List<Victim.Group> chosen = isUrgentGang(job)
+            List<Victim.OnMachine> chosen = isUrgentGang(job)
                     ? gangPreemption.choose(job, machine -> true)
                     : arrayPreemption.choose(job, demand.tasks());
             if (!chosen.isEmpty()) {
@@ -98,16 +98,16 @@
         }
     }
 
-    private Preemption reserve(Pipeline job, List<Victim.Group> chosen, boolean forImageLocality) {
-        Set<String> names = new LinkedHashSet<>();
+    private Preemption reserve(Pipeline job, List<Victim.OnMachine> chosen, boolean forImageLocality) {
+        Set<String> machineNames = new LinkedHashSet<>();
         Map<AttemptId, Double> evicted = new LinkedHashMap<>();
-        for (Victim.Group group : chosen) {
-            names.add(group.machine().name());
-            group.machine().reserve(job.jobId());
-            for (Victim victim : group.victims()) {
+        for (Victim.OnMachine chosenMachine : chosen) {
+            machineNames.add(chosenMachine.machine().name());
+            chosenMachine.machine().reserve(job.jobId());
+            for (Victim victim : chosenMachine.victims()) {
                 evicted.put(victim.attemptId(), victim.graceS());
             }
         }
-        return new Preemption(job.jobId(), names, evicted, forImageLocality);
+        return new Preemption(job.jobId(), machineNames, evicted, forImageLocality);
     }
 }
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -29,12 +29,12 @@
 
     /** A job's machines with the evictions that clear them, and the time until which they are reserved. */
     private record Reservation(Preemption preemption, long until) {
-        /** With one machine more, reserved at least until this time. */
-        Reservation with(String machine, long atLeastUntil) {
-            Set<String> more = new LinkedHashSet<>(preemption.machines());
-            more.add(machine);
+        /** With one more machine, reserved at least until this time. */
+        Reservation withMachine(String machine, long atLeastUntil) {
+            Set<String> machines = new LinkedHashSet<>(preemption.machines());
+            machines.add(machine);
             return new Reservation(
-                    new Preemption(preemption.jobId(), more, preemption.evicted(), preemption.forImageLocality()),
+                    new Preemption(preemption.jobId(), machines, preemption.evicted(), preemption.forImageLocality()),
                     Math.max(until, atLeastUntil));
         }
     }
@@ -71,23 +71,23 @@
     @Override
     public void keep(String jobId, String machine, long durationMs) {
         long until = loop.now() + durationMs;
-        Reservation kept =
+        Reservation reservation =
                 byJob.getOrDefault(jobId, new Reservation(new Preemption(jobId, Set.of(), Map.of(), false), until));
-        byJob.put(jobId, kept.with(machine, until));
+        byJob.put(jobId, reservation.withMachine(machine, until));
     }
 
     /** The machines that are reserved for a job. */
-    Set<String> machinesOf(String jobId) {
+    Set<String> machinesReservedFor(String jobId) {
         Reservation reservation = byJob.get(jobId);
         return reservation == null ? Set.of() : reservation.preemption().machines();
     }
 
     /** The job for which a machine is reserved, by machine. */
-    Map<String, String> jobsByMachine() {
-        Map<String, String> reserved = new HashMap<>();
+    Map<String, String> reservedJobsByMachine() {
+        Map<String, String> jobsByMachine = new HashMap<>();
         byJob.forEach((jobId, reservation) ->
-                reservation.preemption().machines().forEach(machine -> reserved.put(machine, jobId)));
-        return reserved;
+                reservation.preemption().machines().forEach(machine -> jobsByMachine.put(machine, jobId)));
+        return jobsByMachine;
     }
 
     /** Adds the names of all reserved machines to a collection. */
@@ -113,25 +113,25 @@
             JobEntry entry = jobs.get(reservation.preemption().jobId());
             return entry == null
                     || entry.cancelled()
-                    || started(entry.committed(), reservation.preemption())
+                    || hasStarted(entry.committed(), reservation.preemption())
                     || loop.now() > reservation.until();
         });
     }
 
     /** A gang has started once it is placed in full; an array, once no attempt has to leave a machine for it. */
-    private boolean started(Pipeline job, Preemption preemption) {
+    private boolean hasStarted(Pipeline job, Preemption preemption) {
         if (job.spec().gang()) {
             return job.attempts().size() == job.spec().tasks();
         }
         for (AttemptId evicted : preemption.evicted().keySet()) {
-            if (onAny(preemption.machines(), evicted)) {
+            if (runsOnAny(preemption.machines(), evicted)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean onAny(Set<String> machines, AttemptId attemptId) {
+    private boolean runsOnAny(Set<String> machines, AttemptId attemptId) {
         for (String machine : machines) {
             if (jobs.attemptsOn(machine).containsKey(attemptId)) {
                 return true;
--- a/src/main/java/org/spoolline/scheduler/SchedulableMachine.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulableMachine.java
@@ -10,17 +10,17 @@
 final class SchedulableMachine extends Capacity {
     private final Machine machine;
     /** The job that the machine is reserved for, or null. */
-    private String reservedFor;
+    private String reservedForJob;
 
     /**
      * An empty machine.
      *
-     * @param reservedFor id of the job that the machine is being cleared for, or null
+     * @param reservedForJob id of the job that the machine is being cleared for, or null
      */
-    SchedulableMachine(Machine machine, MachineType type, String reservedFor) {
+    SchedulableMachine(Machine machine, MachineType type, String reservedForJob) {
         super(type, machine.zone(), machine.spot());
         this.machine = machine;
-        this.reservedFor = reservedFor;
+        this.reservedForJob = reservedForJob;
     }
 
     /** The machine as the registry knows it. */
@@ -35,12 +35,12 @@
 
     /** True when the machine accepts tasks of a single job only. */
     boolean isReserved() {
-        return reservedFor != null;
+        return reservedForJob != null;
     }
 
     /** Keeps the machine from all jobs but this one for the rest of the pass. */
     void reserve(String jobId) {
-        reservedFor = jobId;
+        reservedForJob = jobId;
     }
 
     /** The share of the machine's cores that is in use, from 0 to 1. */
@@ -50,7 +50,9 @@
 
     /** True when the job may use this machine, whatever capacity is free on it. */
     boolean accepts(Pipeline job) {
-        return permits(job.spec()) && !job.avoids(name()) && (reservedFor == null || reservedFor.equals(job.jobId()));
+        return permits(job.spec())
+                && !job.avoids(name())
+                && (reservedForJob == null || reservedForJob.equals(job.jobId()));
     }
 
     /** True when the machine has the job's image. */
--- a/src/main/java/org/spoolline/scheduler/Victim.java
+++ b/src/main/java/org/spoolline/scheduler/Victim.java
@@ -43,5 +43,5 @@
      *
      * @param cost core seconds that preemption and image fetch cost; 0 where no choice depends on it
      */
-    record Group(SchedulableMachine machine, List<Victim> victims, double cost) {}
+    record OnMachine(SchedulableMachine machine, List<Victim> victims, double cost) {}
 }
--- a/src/main/java/org/spoolline/scheduler/Victims.java
+++ b/src/main/java/org/spoolline/scheduler/Victims.java
@@ -52,7 +52,7 @@
     }
 
     /** The victims on a machine, none where there are none. */
-    List<Victim> on(String machine) {
+    List<Victim> onMachine(String machine) {
         return byMachine.getOrDefault(machine, List.of());
     }
 
@@ -65,11 +65,11 @@
     }
 
     private double sortAndAverage(String machine) {
-        List<Victim> here = byMachine.get(machine);
-        here.sort(Comparator.comparingDouble(v -> v.loss() / v.spec().cores()));
+        List<Victim> victims = byMachine.get(machine);
+        victims.sort(Comparator.comparingDouble(v -> v.loss() / v.spec().cores()));
         double loss = 0;
         double cores = 0;
-        for (Victim victim : here) {
+        for (Victim victim : victims) {
             if (victim.spec().checkpoints()) {
                 loss += victim.loss();
                 cores += victim.spec().cores();
--- a/src/main/java/org/spoolline/worker/EarlyHeartbeatRequests.java
+++ b/src/main/java/org/spoolline/worker/EarlyHeartbeatRequests.java
@@ -77,7 +77,7 @@
 
     private void send(Machine machine) {
         machine.recordEarlyHeartbeatRequest(loop.now());
-        long token = election.workerFencingToken() + machine.earlyHeartbeatRequests();
+        long token = election.workerFencingToken() + machine.tokenIncrements();
         inFlight++;
         http.call(
                 machine.address(),
--- a/src/main/java/org/spoolline/worker/HeartbeatResponder.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -79,7 +79,7 @@
 
     private void renew(PendingResponse pending, List<Order> orders) {
         Machine machine = pending.machine();
-        long token = election.workerFencingToken() + machine.earlyHeartbeatRequests();
+        long token = election.workerFencingToken() + machine.tokenIncrements();
         for (int i = 0; i < orders.size(); i++) {
             record(machine, orders.get(i));
         }
--- a/src/test/java/org/spoolline/cluster/MachineTest.java
+++ b/src/test/java/org/spoolline/cluster/MachineTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void isUnknownUntilItsFirstHeartbeat() {
+    void hasNoHeartbeatStateBeforeFirstHeartbeat() {
         assertFalse(machine.hasReported());
         assertEquals(-1, machine.lastHeartbeatAt());
         assertEquals(-1, machine.incarnation());
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void onlyANewerHeartbeatCounts() {
+    void ignoresStaleHeartbeats() {
         assertEquals(Machine.HeartbeatChange.CHANGED, accept(1, 5, 3, 100));
         assertEquals(Machine.HeartbeatChange.STALE, accept(1, 5, 3, 200));
         assertEquals(Machine.HeartbeatChange.STALE, accept(0, 9, 3, 200));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void whatCountsAsAChange() {
+    void detectsChangedHeartbeats() {
         accept(1, 1, 3, 0);
         assertEquals(Machine.HeartbeatChange.UNCHANGED, accept(1, 2, 3, 1));
         assertEquals(Machine.HeartbeatChange.CHANGED, accept(1, 3, 4, 2), "a token");
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void twoUnacknowledgedResponsesInARowMakeTheDownlinkUnreachableUntilANewTokenIsShown() {
+    void downlinkIsUnreachableFromTwoUnacknowledgedResponsesUntilNewToken() {
         accept(1, 1, 3, 0);
         machine.recordResponse(4, 0);
         accept(1, 2, 3, 4_000);
@@ -95,19 +95,19 @@
         accept(1, 3, 3, 8_000);
         assertTrue(machine.downlinkUnreachable());
         assertEquals(8_000, machine.downlinkUnreachableSince());
-        assertEquals(1, machine.earlyHeartbeatRequests(), "the token is raised");
+        assertEquals(1, machine.tokenIncrements(), "the token is raised");
         machine.recordResponse(5, 8_000);
         accept(1, 4, 3, 12_000);
         accept(1, 5, 3, 16_000);
         assertEquals(8_000, machine.downlinkUnreachableSince());
-        assertEquals(2, machine.earlyHeartbeatRequests());
+        assertEquals(2, machine.tokenIncrements());
         accept(1, 6, 5, 20_000);
         assertFalse(machine.downlinkUnreachable());
         assertEquals(-1, machine.downlinkUnreachableSince());
     }
 
     @Test
-    void anAcknowledgedResponseStartsTheCountAnewOnlyIfItsTokenIsNew() {
+    void onlyAcknowledgedNewTokenResetsUnacknowledgedResponses() {
         accept(1, 1, 3, 0);
         machine.recordResponse(4, 0);
         accept(1, 2, 3, 4_000);
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aNewIncarnationSoonAfterAResponseShowsThatTheResponseDidNotArrive() {
+    void newIncarnationWithinRenewedLeaseMakesDownlinkUnreachable() {
         accept(1, 1, 3, 0);
         machine.recordResponse(3, 0);
         accept(2, 0, 3, LEASE_MS - 1);
@@ -128,16 +128,16 @@
     }
 
     @Test
-    void aNewIncarnationOnceTheLeaseHasExpiredShowsNothing() {
+    void newIncarnationAfterLeaseExpiryIsInconclusive() {
         accept(1, 1, 3, 0);
         machine.recordResponse(3, 0);
         accept(2, 0, 3, LEASE_MS);
         assertFalse(machine.downlinkUnreachable());
-        assertEquals(0, machine.earlyHeartbeatRequests());
+        assertEquals(0, machine.tokenIncrements());
     }
 
     @Test
-    void aLaunchIsPendingUntilALaterHeartbeatOrIncarnation() {
+    void launchIsPendingUntilNextHeartbeat() {
         assertFalse(accept(1, 1, 3, 0) == Machine.HeartbeatChange.STALE);
         assertFalse(machine.launchPending(ATTEMPT));
         machine.recordLaunch(ATTEMPT);
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void runTimesCountFromTheFirstHeartbeatThatListsTheTaskRunning() {
+    void runTimeCountsFromFirstHeartbeatListingTaskAsRunning() {
         accept(1, 1, 3, 1_000, status(TaskStatus.Phase.FETCHING_IMAGE));
         assertEquals(0, machine.observedRunMs(ATTEMPT, 2_000));
         accept(1, 2, 3, 2_000, status(TaskStatus.Phase.RUNNING));
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void theLeastRecentlyUsedImagesLeaveAFullCache() {
+    void evictsLeastRecentlyUsedImages() {
         machine.recordImageUse("a", 4, 10);
         machine.recordImageUse("b", 4, 10);
         machine.recordImageUse("a", 4, 10);
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void failuresCountByJobUntilATaskCompletes() {
+    void countsFailedJobsSinceLastCompletion() {
         assertEquals(1, machine.recordTaskFailure("j"));
         assertEquals(1, machine.recordTaskFailure("j"));
         assertEquals(2, machine.recordTaskFailure("k"));
@@ -185,14 +185,14 @@
     }
 
     @Test
-    void workersAreSentToLookForALeaderOncePerPeriod() {
+    void probesForLeaderOncePerPeriod() {
         assertTrue(machine.shouldProbeForLeader(0, 100));
         assertFalse(machine.shouldProbeForLeader(100, 100));
         assertTrue(machine.shouldProbeForLeader(101, 100));
     }
 
     @Test
-    void drainingAndEvacuating() {
+    void evacuationImpliesDraining() {
         machine.drain();
         assertTrue(machine.draining());
         assertFalse(machine.evacuating());
--- a/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
@@ -17,7 +17,7 @@
     }
 
     /** A machine on which one task of a job of its own has run for a minute. */
-    private void machineWith(String name, double cores, double checkpointS) throws Exception {
+    private void addMachineRunning(String name, double cores, double checkpointS) throws Exception {
         fixture.running(
                         name,
                         job("run-00000" + fixture.machines.size(), 1, cores, checkpointS, Simulation.START_OF_DAY),
@@ -30,26 +30,26 @@
     }
 
     @Test
-    void tasksWithCheckpointsMoveToMachinesThatStayInUse() throws Exception {
-        machineWith("full", 12, 0);
-        machineWith("sparse", 4, 15);
-        machineWith("sparse-too", 4, 15);
+    void evacuatesLeastUsedMachineOfTasksWithCheckpoints() throws Exception {
+        addMachineRunning("full", 12, 0);
+        addMachineRunning("sparse", 4, 15);
+        addMachineRunning("sparse-too", 4, 15);
         assertEquals(Set.of("sparse"), evacuated(true));
         assertEquals(Set.of(), evacuated(false));
     }
 
     @Test
-    void tasksWithoutCheckpointsStay() throws Exception {
-        machineWith("full", 12, 0);
-        machineWith("sparse", 4, 0);
+    void doesNotMoveTasksWithoutCheckpoints() throws Exception {
+        addMachineRunning("full", 12, 0);
+        addMachineRunning("sparse", 4, 0);
         assertEquals(Set.of(), evacuated(true));
     }
 
     /** Otherwise the next job would have to wait for a machine to boot. */
     @Test
-    void capacityForRecentDemandStaysFree() throws Exception {
-        machineWith("full", 12, 0);
-        machineWith("sparse", 4, 15);
+    void keepsCapacityForRecentDemandFree() throws Exception {
+        addMachineRunning("full", 12, 0);
+        addMachineRunning("sparse", 4, 15);
         Pipeline recent = job("run-000009", 4, 4, 0, Simulation.START_OF_DAY + 50_000);
         recent.cancel();
         fixture.jobs.add(recent);
--- a/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
@@ -18,7 +18,7 @@
     }
 
     /** A machine filled by a task with checkpoints that has run for so long. */
-    private void filled(String name, double ranS) throws Exception {
+    private void addFullMachine(String name, double ranS) throws Exception {
         fixture.running(name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
     }
 
@@ -30,27 +30,27 @@
     }
 
     @Test
-    void aTaskWithARecentCheckpointStopsWithoutGrace() throws Exception {
-        filled("m", 33);
+    void stopsTaskWithRecentCheckpointWithoutGrace() throws Exception {
+        addFullMachine("m", 33);
         Preemption preemption = preemptionFor(job("run-000009", "blue", "group", "urgent", 0));
         assertEquals(List.of(0.0), List.copyOf(preemption.evicted().values()));
     }
 
     @Test
-    void aTaskWithMuchUnsavedWorkGetsGraceForACheckpoint() throws Exception {
-        filled("m", 43);
+    void grantsGraceForCheckpointOfMuchUnsavedWork() throws Exception {
+        addFullMachine("m", 43);
         Preemption preemption = preemptionFor(job("run-000009", "blue", "group", "urgent", 0));
         assertEquals(List.of(5.0), List.copyOf(preemption.evicted().values()));
     }
 
     @Test
-    void anArrayWithinItsFairSharePreemptsWhereLeastIsLost() throws Exception {
+    void arrayWithinFairSharePreemptsLeastLoss() throws Exception {
         // The first two are within their own team's guaranteed share.
-        filled("k", 30);
-        filled("l", 30);
-        filled("m", 40);
-        filled("n", 31);
-        filled("o", 42);
+        addFullMachine("k", 30);
+        addFullMachine("l", 30);
+        addFullMachine("m", 40);
+        addFullMachine("n", 31);
+        addFullMachine("o", 42);
         assertEquals(
                 Set.of("n"),
                 preemptionFor(job("run-000009", "blue", "batch", "standard", 0)).machines());
