--- a/src/main/java/org/spoolline/scheduler/ArrayPreemption.java
+++ b/src/main/java/org/spoolline/scheduler/ArrayPreemption.java
@@ -9,16 +9,16 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** Chooses the tasks with checkpoints that make way for an array within its team's guaranteed share. */
+/** Selects the tasks with checkpoints to evict for an array that is within its team's guaranteed share. */
 final class ArrayPreemption {
     private final ClusterSnapshot snapshot;
     private final List<SchedulableMachine> machines;
     private final Victims victims;
     private final FairShares fairShares;
-    /** By team: cores in use beyond its guaranteed share, less those of the victims chosen so far. */
+    /** For each team, the cores in use beyond its guaranteed share, less those of the victims selected so far. */
     private final Map<String, Double> coresBeyondShare;
 
-    /** Counts usage as it is now: it is created once all placements of the pass are decided. */
+    /** Reads the teams' usage at construction, so it must be created after all placements of the pass are made. */
     ArrayPreemption(
             ClusterSnapshot snapshot, List<SchedulableMachine> machines, Victims victims, FairShares fairShares) {
         this.snapshot = snapshot;
@@ -28,7 +28,10 @@
         coresBeyondShare = fairShares.coresBeyondShare();
     }
 
-    /** Machines with victims for up to so many tasks; empty when there are none or the job has zone constraints. */
+    /**
+     * Returns machines with the victims to evict there, for up to {@code tasks} tasks of the job; empty when there are
+     * no victims, or when the job requires a single zone or a spread across zones.
+     */
     List<Victim.OnMachine> choose(Pipeline job, int tasks) {
         Submission spec = job.spec();
         if (spec.singleZone() || spec.spreadAcrossZones()) {
@@ -51,7 +54,7 @@
         return chosen;
     }
 
-    /** Machines with victims, those with the shortest image fetch and the least loss first. */
+    /** Machines with victims, ordered by the sum of image fetch time and lost work per core. */
     private List<SchedulableMachine> candidates(Pipeline job) {
         List<SchedulableMachine> candidates = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
@@ -66,7 +69,7 @@
         return candidates;
     }
 
-    /** Releases victims on the machine into {@code free} until it has the cores for so many tasks; returns them. */
+    /** Releases victims into {@code free} until it has cores for {@code tasks} tasks; returns the victims released. */
     private List<Victim> evict(Pipeline job, SchedulableMachine machine, Capacity free, int tasks) {
         List<Victim> evicted = new ArrayList<>();
         for (Victim victim : victims.onMachine(machine.name())) {
@@ -97,7 +100,7 @@
         return lowerPriority || isBeyondShare(job, victim);
     }
 
-    /** True when the victim's team, another one than the job's, uses the victim's cores beyond its guaranteed share. */
+    /** True when the victim's team is not the job's and would keep its guaranteed share without the victim's cores. */
     private boolean isBeyondShare(Pipeline job, Pipeline victim) {
         String team = victim.spec().team();
         return !team.equals(job.spec().team())
--- a/src/main/java/org/spoolline/scheduler/CapacityAccumulation.java
+++ b/src/main/java/org/spoolline/scheduler/CapacityAccumulation.java
@@ -10,16 +10,19 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * Chooses the machines on which capacity accumulates for a starving gang. Without such machines a stream of small jobs
- * could take each bit of capacity as it becomes free, and the gang would never start.
+ * Selects the machines on which free capacity accumulates for a starving gang. Without it, a continuous stream of small
+ * jobs could occupy capacity as soon as it becomes free, and the gang would never start.
  */
 final class CapacityAccumulation {
-    /** The group of all machines, for a gang that may span zones. */
+    /** Key of the single group of machines for a gang that may span zones. */
     private static final String ALL_ZONES = "";
 
     private CapacityAccumulation() {}
 
-    /** The machines with the most free cores that, once empty, could run the whole gang. */
+    /**
+     * Returns machines that could run the whole gang once they are empty, or all usable ones if these are too few. For
+     * a gang that requires a single zone, the zone is chosen whose selected machines have the most free cores.
+     */
     static List<SchedulableMachine> choose(Pipeline gang, List<SchedulableMachine> machines) {
         List<SchedulableMachine> best = List.of();
         double mostFree = -1;
@@ -35,7 +38,7 @@
         return best;
     }
 
-    /** The usable machines by zone, or all in one group for a gang that may span zones. */
+    /** The machines that the gang may use, grouped by zone, or in a single group if the gang may span zones. */
     private static Collection<List<SchedulableMachine>> machinesByZone(
             Pipeline gang, List<SchedulableMachine> machines) {
         Submission spec = gang.spec();
@@ -49,7 +52,7 @@
         return byZone.values();
     }
 
-    /** As many machines as the gang needs when they are empty, those with the fewest cores in use first. */
+    /** The machines with the fewest cores in use, as many as the gang needs if they are empty. */
     private static List<SchedulableMachine> leastUsed(Submission gang, List<SchedulableMachine> group) {
         group.sort(Comparator.comparingDouble((SchedulableMachine m) -> m.type().cores() - m.cores())
                 .thenComparing(SchedulableMachine::name));
--- a/src/main/java/org/spoolline/scheduler/CapacityScaler.java
+++ b/src/main/java/org/spoolline/scheduler/CapacityScaler.java
@@ -7,7 +7,7 @@
 import org.spoolline.job.JobTable;
 import org.spoolline.net.EventLoop;
 
-/** Passes a plan's unmet demand to the autoscaler, with the machines that it has to keep. */
+/** Passes a plan's unmet demand to the autoscaler, together with the machines that must not be released. */
 final class CapacityScaler {
     private final EventLoop loop;
     private final JobTable jobs;
@@ -21,7 +21,7 @@
         this.autoscaler = autoscaler;
     }
 
-    /** Scales out for the plan's demands and in where no work is or is expected. */
+    /** Scales out for the plan's demands, and in where machines neither have work nor are expected to get any. */
     void scale(SchedulingPlan plan, CycleState state) {
         Set<String> machinesExpectingWork = machinesOfProposedAttempts();
         machinesExpectingWork.addAll(plan.accumulating());
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
@@ -13,22 +13,22 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * The input of one planning pass. Planners read it and change nothing in it.
+ * The input of one planning pass. The planners do not modify it.
  *
- * @param jobs                   live pipelines as they stand after this cycle's reconciliation
+ * @param jobs                   pipelines of the live jobs, as changed by this cycle's reconciliation
  * @param pendingWriteAttempts   by job id, for jobs whose write is in flight: the attempts of the committed and of the
  *                               proposed pipeline, since either set may occupy capacity
- * @param placeableJobs              ids of the jobs that may be changed in this cycle
- * @param machinesByName         every machine known, by name
- * @param schedulableMachines            machines that accept launches now
+ * @param placeableJobs              ids of the jobs whose tasks may be placed in this cycle
+ * @param machinesByName         all known machines by name, including those that accept no launches
+ * @param schedulableMachines            machines that currently accept launches
  * @param reservedJobsByMachine            by machine name: the id of the job that the machine is being cleared for
- * @param gangsPreemptedForImage ids of the gangs that machines with their image were already cleared for; this happens
- *                               once for each gang
- * @param inheritedPriorities    by job id, for jobs that others depend on: the highest priority among the dependents
+ * @param gangsPreemptedForImage ids of the gangs for which machines with their image have been cleared; this is done at
+ *                               most once for each gang
+ * @param inheritedPriorities    by job id, for jobs with dependents: the highest priority among the dependents
  * @param machineTypes                  machine types by name
- * @param mayConsolidate         true when the tasks of the last consolidation have had time to move
- * @param timeOfDay              wall-clock time in ms, as in the jobs' times
- * @param now                    the event loop's steady clock in ms, as in the machines' times
+ * @param mayConsolidate         true when enough time has passed since the last consolidation for its tasks to move
+ * @param timeOfDay              wall-clock time in ms, comparable with the times of jobs
+ * @param now                    the event loop's monotonic clock in ms, comparable with the times of machines
  */
 record ClusterSnapshot(
         List<Pipeline> jobs,
@@ -45,23 +45,23 @@
         long timeOfDay,
         long now) {
 
-    /** Attempts of the job that occupy capacity, or may do so. */
+    /** The job's attempts that occupy capacity or, while a write is in flight, may occupy it. */
     Collection<Attempt> occupyingAttempts(Pipeline job) {
         List<Attempt> ofPendingWrite = pendingWriteAttempts.get(job.jobId());
         return ofPendingWrite == null ? job.attempts() : ofPendingWrite;
     }
 
-    /** True for a gang of which some members are placed already, so that only the others need machines. */
+    /** True for a gang with at least one placed member: only its missing members need machines. */
     boolean isPartlyPlacedGang(Pipeline job) {
         return job.spec().gang() && !occupyingAttempts(job).isEmpty();
     }
 
-    /** True when machines are being cleared for the job. */
+    /** True when machines are reserved for the job. */
     boolean hasReservation(Pipeline job) {
         return reservedJobsByMachine.containsValue(job.jobId());
     }
 
-    /** The job's own priority or the highest one among the jobs that depend on it, whichever is higher. */
+    /** The higher of the job's own priority and the highest priority among its dependents. */
     Submission.Priority priority(Pipeline job) {
         Submission.Priority own = job.spec().priority();
         Submission.Priority ofDependents = inheritedPriorities.getOrDefault(job.jobId(), own);
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Cores requested by the jobs released during the last {@link Constants.Placement#RECENT_DEMAND_MS}. That much
-     * capacity is kept free, so that the next jobs needn't wait for machines to boot.
+     * Cores requested by the jobs that became eligible during the last {@link Constants.Placement#RECENT_DEMAND_MS}. As
+     * much capacity is kept free, so that the next jobs don't have to wait for machines to boot.
      */
     static double recentlyRequestedCores(Collection<Pipeline> jobs, long timeOfDay) {
         return jobs.stream()
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
@@ -17,7 +17,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.reconcile.TaskPhases;
 
-/** Builds the input of a plan from the leader's tables. */
+/** Builds the input of a planning pass from the leader's jobs, machines and reservations. */
 final class ClusterSnapshotBuilder {
     private final EventLoop loop;
     private final Settings settings;
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Builds a snapshot of the present moment.
+     * Builds a snapshot of the current state.
      *
-     * @param workingJobs    jobs that take part in the plan, by id
-     * @param jobsWithFullValue       jobs whose value can't take more attempts for now
+     * @param workingJobs    jobs to plan, by id
+     * @param jobsWithFullValue       jobs whose stored value has no space for more attempts at present
      * @param mayConsolidate true when the plan may evacuate machines
      */
     ClusterSnapshot build(Map<String, Pipeline> workingJobs, JobPauses jobsWithFullValue, boolean mayConsolidate) {
@@ -74,7 +74,7 @@
                 loop.now());
     }
 
-    /** While a write is in flight either value may be the stored one, so the attempts of both occupy capacity. */
+    /** While a write is in flight, either value may be the stored one, so the attempts of both count as occupying. */
     private static List<Attempt> committedAndProposedAttempts(JobEntry entry) {
         Set<Attempt> union = new HashSet<>(entry.committed().attempts());
         union.addAll(entry.proposed().attempts());
@@ -82,8 +82,9 @@
     }
 
     /**
-     * A gang that lacks members is completed once those it has wait with their image, so that none waits long. A machine
-     * that still reports an ended member would take the next launch of the same attempt number for a repetition.
+     * Missing members of a partly placed gang are placed only once all others have their image and wait for the gang,
+     * which keeps that wait short. No machine reserved for the gang may still list an exited member: the worker would
+     * treat a new launch with the same attempt number as a duplicate.
      */
     private boolean canPlaceTasks(Pipeline job) {
         if (!job.spec().gang() || job.attempts().isEmpty()) {
--- a/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
@@ -16,12 +16,14 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * Decides which machines to evacuate while no job waits for capacity. After a burst the remaining long tasks are spread
- * thinly, and each of their machines is paid for. Tasks with checkpoints move to machines that have their image and
- * stay in use anyway. As much capacity as jobs requested recently is left free. A plan depends on its snapshot alone.
+ * Decides which machines to evacuate while no job waits for capacity, so that they can be released. After a burst of
+ * jobs, a few long tasks are left on each of many machines, all of which are paid for.
+ *
+ * <p>Tasks with checkpoints move to machines that have their image and stay in use anyway. As many cores as jobs have
+ * requested recently are left free. A plan depends on its snapshot only.
  */
 final class ConsolidationPlanner {
-    /** An attempt with its job, on a machine that may be evacuated. */
+    /** An attempt that occupies capacity, with its job. */
     private record RunningTask(Pipeline job, Attempt attempt) {
         Submission spec() {
             return job.spec();
@@ -40,9 +42,10 @@
     }
 
     /**
-     * Names of the machines to evacuate.
+     * Returns the names of the machines to evacuate.
      *
-     * @param machines schedulable machines with the capacity that all attempts leave free
+     * @param machines schedulable machines, with the capacity of all attempts allocated; capacity for moved tasks is
+     *     allocated on them in addition
      */
     static Set<String> machinesToEvacuate(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
         return new ConsolidationPlanner(snapshot, machines).evacuate();
@@ -64,7 +67,7 @@
         return evacuatedMachines;
     }
 
-    /** Free cores beyond those that are kept for the next jobs. */
+    /** Free cores beyond those that are kept free for the next jobs. */
     private double spareCores() {
         double free = machines.stream().mapToDouble(SchedulableMachine::cores).sum();
         return free - ClusterSnapshot.recentlyRequestedCores(snapshot.jobs(), snapshot.timeOfDay());
@@ -80,7 +83,7 @@
         }
     }
 
-    /** The machines worth evacuating, those with the least in use first, as many as one cycle may try. */
+    /** The machines worth evacuating, lowest utilization first, limited to as many as one cycle may try. */
     private List<SchedulableMachine> sources() {
         List<SchedulableMachine> sources = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
@@ -93,7 +96,7 @@
         return sources.subList(0, Math.min(sources.size(), Constants.Placement.CONSOLIDATION_CANDIDATES_MAX));
     }
 
-    /** The machines in use that have free cores, those with the most in use first. */
+    /** The machines that run tasks and have free cores, highest utilization first. */
     private List<SchedulableMachine> targets() {
         List<SchedulableMachine> targets = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
@@ -109,7 +112,7 @@
         return targets;
     }
 
-    /** True when at most half the machine is in use, all of it by tasks that can move. */
+    /** True when utilization is at most half and all tasks on the machine can be moved. */
     private boolean isWorthEvacuating(SchedulableMachine machine) {
         List<RunningTask> tasks = tasksByMachine.getOrDefault(machine.name(), List.of());
         return !tasks.isEmpty()
@@ -117,7 +120,7 @@
                 && tasks.stream().allMatch(this::canBeMoved);
     }
 
-    /** True for a task with checkpoints, of an array, that has run for a while and is expected to go on for a while. */
+    /** True for a task with checkpoints, not of a gang, whose run time so far and remaining run time justify a move. */
     private boolean canBeMoved(RunningTask task) {
         Submission spec = task.spec();
         Machine machine = snapshot.machinesByName().get(task.attempt().machine());
@@ -130,7 +133,7 @@
                 && spec.estimateS() - ranS >= Constants.Placement.CONSOLIDATION_MIN_REMAINING_S;
     }
 
-    /** Allocates capacity on the targets for all tasks of the source; false, without effect, when some don't fit. */
+    /** Allocates capacity on the targets for all tasks of the source; false, without effect, when one does not fit. */
     private boolean moveTasks(SchedulableMachine source, List<SchedulableMachine> targets) {
         Map<SchedulableMachine, List<Submission>> moved = new HashMap<>();
         for (RunningTask task : tasksByMachine.get(source.name())) {
--- a/src/main/java/org/spoolline/scheduler/FairShares.java
+++ b/src/main/java/org/spoolline/scheduler/FairShares.java
@@ -9,17 +9,17 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** What each team uses during one planning pass, compared with its guaranteed share and its limits. */
+/** Tracks the usage of each team during one planning pass against its guaranteed share and its limits. */
 final class FairShares {
     private final Map<String, Settings.Team> teams;
     private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private final Set<String> jobsWithinShare = new HashSet<>();
 
     /**
-     * Shares without any usage yet.
+     * Assigns the guaranteed shares to jobs; the usage of all teams starts at zero.
      *
-     * @param jobsByEligibleTime unfinished jobs, earliest release first: in this order they claim their team's guaranteed
-     *                      share
+     * @param jobsByEligibleTime jobs, earliest eligible time first: the order in which they are counted against their
+     *                           team's guaranteed share
      */
     FairShares(Map<String, Settings.Team> teams, List<Pipeline> jobsByEligibleTime) {
         this.teams = teams;
@@ -42,23 +42,23 @@
         }
     }
 
-    /** True when the job fits its team's guaranteed share along with the team's earlier unfinished jobs. */
+    /** True when the job and its team's unfinished jobs that became eligible earlier fit the guaranteed share. */
     boolean isWithinShare(Pipeline job) {
         return jobsWithinShare.contains(job.jobId());
     }
 
-    /** What the team's tasks use, to be added to as tasks are found or placed. */
+    /** The team's usage, to which the caller adds running and newly placed tasks. */
     TeamUsage usage(String team) {
         return usageByTeam.computeIfAbsent(team, name -> new TeamUsage());
     }
 
-    /** How many more tasks of the job its team's limits allow; none for a team that the settings don't name. */
+    /** The number of further tasks of the job that its team's limits allow; 0 for a team missing from the settings. */
     int headroom(Submission job) {
         Settings.Team team = teams.get(job.team());
         return team == null ? 0 : usage(job.team()).headroom(team, job);
     }
 
-    /** By team: the cores that it uses beyond its guaranteed share, negative for one that uses less. */
+    /** For each team, the cores in use beyond its guaranteed share; negative when it uses less than its share. */
     Map<String, Double> coresBeyondShare() {
         Map<String, Double> cores = new HashMap<>();
         teams.forEach((name, team) -> cores.put(name, usage(name).cores() - team.guaranteedCores()));
--- a/src/main/java/org/spoolline/scheduler/GangLaunchOrder.java
+++ b/src/main/java/org/spoolline/scheduler/GangLaunchOrder.java
@@ -11,13 +11,14 @@
 import org.spoolline.reconcile.TaskPhases;
 
 /**
- * The order in which a gang's tasks are launched. A task whose machine has the image would wait for the others and give up
- * after gang_wait_s, which a fetch can exceed; so it is launched once all members that fetch have their image.
+ * Decides the order in which a gang's tasks are launched. A task exits when its gang is not complete within
+ * gang_wait_s, and an image fetch can take longer than that. Tasks on machines that have the image are therefore
+ * launched only after the other members have fetched it.
  */
 final class GangLaunchOrder {
     private final JobTable jobs;
     private final TaskPhases phases;
-    /** Gang tasks whose machine has the image, which are launched after the others, by job. */
+    /** By job id: the members on machines that had the image at placement; they are launched after the others. */
     private final Map<String, Set<AttemptId>> membersLaunchedLast = new HashMap<>();
 
     GangLaunchOrder(JobTable jobs, TaskPhases phases) {
@@ -25,22 +26,22 @@
         this.phases = phases;
     }
 
-    /** Forgets the gangs of an earlier term. */
+    /** Removes all gangs; to be called at the start of a term. */
     void clear() {
         membersLaunchedLast.clear();
     }
 
-    /** Records a placed gang: these of its tasks are on machines that have the image. */
+    /** Records which members of a placed gang are on machines with the image, so that they are launched last. */
     void launchLast(String jobId, Set<AttemptId> membersWithImage) {
         membersLaunchedLast.put(jobId, membersWithImage);
     }
 
-    /** Forgets a gang that has reached a terminal state. */
+    /** Removes a gang that has reached a terminal state. */
     void forget(String jobId) {
         membersLaunchedLast.remove(jobId);
     }
 
-    /** False while the task is not to be launched yet, because members without their image are still fetching it. */
+    /** False for a task on a machine with the image while other members of its gang are still fetching it. */
     boolean mayLaunch(AttemptId attemptId) {
         Set<AttemptId> membersWithImage = membersLaunchedLast.get(attemptId.jobId());
         if (membersWithImage == null || !membersWithImage.contains(attemptId)) {
--- a/src/main/java/org/spoolline/scheduler/GangPreemption.java
+++ b/src/main/java/org/spoolline/scheduler/GangPreemption.java
@@ -11,7 +11,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** Chooses the machines to be cleared for an urgent gang: one for each of its tasks. */
+/** Selects the machines to clear by preemption for an urgent gang, one machine for each of its tasks. */
 final class GangPreemption {
     private final ClusterSnapshot snapshot;
     private final List<SchedulableMachine> machines;
@@ -24,8 +24,8 @@
     }
 
     /**
-     * The cheapest machines among those allowed, one for each task of the gang and in one zone where the job requires
-     * that; empty when there are too few.
+     * Returns the allowed machines that cost the least, one for each task of the gang, all in one zone if the gang
+     * requires that; empty when there are too few machines.
      */
     List<Victim.OnMachine> choose(Pipeline gang, Predicate<SchedulableMachine> allowed) {
         if (!gang.spec().singleZone()) {
@@ -44,7 +44,7 @@
         return best;
     }
 
-    /** Core seconds that clearing all these machines costs. */
+    /** Total cost in core seconds of clearing these machines and of fetching the image there. */
     static double totalCost(List<Victim.OnMachine> machinesWithVictims) {
         return machinesWithVictims.stream().mapToDouble(Victim.OnMachine::cost).sum();
     }
@@ -62,11 +62,11 @@
         }
         machinesWithVictims.sort(Comparator.comparingDouble(Victim.OnMachine::cost));
         List<Victim.OnMachine> cheapest = machinesWithVictims.subList(0, tasks);
-        // A machine type without a fetch rate makes the cost infinite.
+        // The cost is infinite for a machine type whose image fetch rate is 0.
         return totalCost(cheapest) < Double.MAX_VALUE ? cheapest : List.of();
     }
 
-    /** The victims that make way for one task of the gang, least loss first; empty when they don't suffice. */
+    /** The victims to evict so that one task of the gang fits, least loss first; empty when it would not fit. */
     private Optional<Victim.OnMachine> victimsFor(Pipeline gang, SchedulableMachine machine) {
         Submission spec = gang.spec();
         Capacity free = machine.copy();
--- a/src/main/java/org/spoolline/scheduler/MachineSelector.java
+++ b/src/main/java/org/spoolline/scheduler/MachineSelector.java
@@ -13,9 +13,9 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** Chooses machines with free capacity for the tasks of one job at a time and allocates the capacity. */
+/** Selects machines with free capacity for the tasks of one job and allocates that capacity. */
 final class MachineSelector {
-    /** The zone of an attempt whose machine is unknown: it equals no zone and counts against the limit of each. */
+    /** Zone of an attempt whose machine is unknown. It matches no zone and counts against the limit of every zone. */
     private static final String UNKNOWN_ZONE = "?";
 
     private final ClusterSnapshot snapshot;
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Allocates capacity for up to {@code count} tasks, for a gang for all or none. The result has one entry for each
-     * task; the job's zone constraints hold for it along with the job's other attempts.
+     * Allocates capacity for up to {@code count} tasks; for a gang, for all of them or none. The result has one entry
+     * for each task. Together with the job's existing attempts it satisfies the job's zone constraints.
      */
     List<SchedulableMachine> allocate(Pipeline job, int count) {
         Submission spec = job.spec();
@@ -43,7 +43,7 @@
         return chosen;
     }
 
-    /** Returns the capacity of tasks that are not launched after all. */
+    /** Releases the capacity that was allocated for tasks of the job, one task for each entry. */
     static void release(Submission job, List<SchedulableMachine> chosen) {
         for (SchedulableMachine machine : chosen) {
             machine.release(job);
@@ -52,8 +52,9 @@
 
     private List<SchedulableMachine> candidates(Pipeline job) {
         Submission spec = job.spec();
-        // Members that wait already would give up before one with a long image fetch is ready. The gang would then
-        // start over as a whole, and launch the members on the machines with the image last.
+        // The members placed so far wait for the missing ones and exit after gang_wait_s. With a longer image fetch, a
+        // new member would come too late: the whole gang would be placed again, and its members on machines with the
+        // image would be launched last.
         boolean limitsFetchTime = snapshot.isPartlyPlacedGang(job);
         double maxFetchS =
                 snapshot.settings().workers().gangWaitMs() / 1000.0 * Constants.Placement.GANG_COMPLETION_FETCH_SHARE;
@@ -69,9 +70,10 @@
     }
 
     /**
-     * Image locality first. Then the smallest type that fits, so that big machines stay free for big tasks. Then spot
-     * machines and the fullest ones, so that expensive machines become idle and can be released; but work that loses
-     * much when the cloud takes its machine leaves spot machines to work that loses little.
+     * Prefers machines with the image or a short image fetch, then the smallest type that fits, so that large machines
+     * stay free for large tasks. Spot machines and machines with the least free capacity are next, so that expensive
+     * machines become idle and can be released. Jobs that would lose much work when the cloud reclaims a machine prefer
+     * on-demand machines, which leaves spot machines to jobs that lose little.
      */
     private static Comparator<SchedulableMachine> preference(Submission job) {
         int spotRank = job.expectedLossS() <= Constants.Placement.SPOT_LOSS_S ? 0 : 2;
@@ -83,7 +85,7 @@
                 .thenComparing(SchedulableMachine::name);
     }
 
-    /** Allocates in the first usable zone with capacity for all tasks, else in the one with capacity for most. */
+    /** Allocates in the first usable zone that fits all tasks; if there is none, in the zone that fits the most. */
     private List<SchedulableMachine> allocateInOneZone(Pipeline job, List<SchedulableMachine> candidates, int count) {
         Submission spec = job.spec();
         List<SchedulableMachine> best = List.of();
@@ -102,7 +104,10 @@
         return best;
     }
 
-    /** The zone that the job's attempts are in, or without attempts each zone; none when attempts are in several. */
+    /**
+     * The zones in which a single-zone job may be placed: the zone of its attempts, or every candidate's zone if it has
+     * no attempts. Empty when its attempts are in several zones.
+     */
     private Set<String> usableZones(Pipeline job, List<SchedulableMachine> candidates) {
         Set<String> zones = new LinkedHashSet<>();
         for (Attempt attempt : snapshot.occupyingAttempts(job)) {
@@ -129,7 +134,7 @@
         return inZone;
     }
 
-    /** Fills one candidate after the other, within the limit of tasks for each zone of a job that is to be spread. */
+    /** Fills the candidates in order; for a job spread across zones, within its limit of tasks for each zone. */
     private List<SchedulableMachine> allocateInOrder(Pipeline job, List<SchedulableMachine> candidates, int count) {
         Submission spec = job.spec();
         Map<String, Integer> tasksByZone = new HashMap<>();
--- a/src/main/java/org/spoolline/scheduler/Placement.java
+++ b/src/main/java/org/spoolline/scheduler/Placement.java
@@ -3,7 +3,7 @@
 import org.spoolline.cluster.Machine;
 
 /**
- * One task to launch on a machine.
+ * The assignment of one task to a machine.
  *
  * @param task the task's index in its job
  */
--- a/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
@@ -18,9 +18,10 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * Decides which tasks are launched on which machines, and has the preemption and consolidation planners add their part.
- * Starving jobs come first, then jobs within their team's guaranteed share, then higher priority, then earlier release.
- * A plan depends on its snapshot alone, and making it changes nothing outside of the planners.
+ * Plans one scheduling cycle: places tasks on machines and calls the planners for preemption and consolidation.
+ *
+ * <p>Jobs are placed in this order: starving jobs, jobs within their team's guaranteed share, jobs of higher priority,
+ * jobs that became eligible earlier. A plan depends on its snapshot only, and planning has no side effects.
  */
 final class PlacementPlanner {
     private final ClusterSnapshot snapshot;
@@ -31,9 +32,9 @@
     private final PreemptionPlanner preemptionPlanner;
     private final Map<String, List<Placement>> placements = new LinkedHashMap<>();
     private final List<ResourceDemand> demands = new ArrayList<>();
-    /** Teams that launch nothing more, so that a starving gang can have most of its team's limit. */
+    /** Teams that launch no more jobs in this plan, so that usage falls until a starving gang fits the team's limit. */
     private final Set<String> teamsWithLaunchesPaused = new HashSet<>();
-    /** Names of the machines on which capacity accumulates for a starving gang. */
+    /** Names of the machines that accept no other jobs, so that their free capacity accumulates for a starving gang. */
     private final Set<String> accumulatingMachines = new LinkedHashSet<>();
 
     private PlacementPlanner(ClusterSnapshot snapshot) {
@@ -46,14 +47,14 @@
         preemptionPlanner = new PreemptionPlanner(snapshot, machines, fairShares);
     }
 
-    /** Makes the plan of one cycle. */
+    /** Returns the plan for one scheduling cycle. */
     static SchedulingPlan plan(ClusterSnapshot snapshot) {
         PlacementPlanner planner = new PlacementPlanner(snapshot);
         planner.allocateRunningAttempts();
         return planner.plan();
     }
 
-    /** Machines whose type is unknown take no part, since their capacity is unknown too. */
+    /** Excludes machines of an unknown type, since their capacity is unknown as well. */
     private static List<SchedulableMachine> schedulableMachines(ClusterSnapshot snapshot) {
         List<SchedulableMachine> machines = new ArrayList<>();
         for (Machine machine : snapshot.schedulableMachines()) {
@@ -110,12 +111,15 @@
         return ordered;
     }
 
-    /** True for a job that has been eligible for long without a launch: a stream of others could delay it for ever. */
+    /**
+     * True for a job that has been eligible for longer than {@link Constants.Placement#STARVATION_MS} without a launch.
+     * Unless it is placed first, a continuous stream of other jobs could delay it indefinitely.
+     */
     private boolean isStarving(Pipeline job) {
         return !job.hasStarted() && eligibleForMs(job) > Constants.Placement.STARVATION_MS;
     }
 
-    /** True for a starving gang, except for one that others have already waited for long enough. */
+    /** True for a starving gang, until other jobs have been kept waiting for it long enough. */
     private boolean mayAccumulateCapacity(Pipeline job) {
         return job.spec().gang()
                 && isStarving(job)
@@ -150,11 +154,11 @@
         }
     }
 
-    /** How many tasks of the job may be launched now as far as its team's limits allow. */
+    /** The number of the job's tasks that its team's limits allow to be launched in this plan. */
     private int launchLimit(Pipeline job) {
         Submission spec = job.spec();
         int headroom = teamsWithLaunchesPaused.contains(spec.team()) ? 0 : fairShares.headroom(spec);
-        // One launch ends the starvation of an array, which then takes its usual place in the order.
+        // A single launch ends the starvation of an array, which has its regular place in the order afterwards.
         int tasks = isStarving(job) && !spec.gang() ? 1 : job.unplacedTaskCount();
         return Math.min(tasks, headroom);
     }
@@ -168,8 +172,9 @@
     }
 
     /**
-     * True when an urgent gang should rather start on machines that have its image, which are being cleared for it or
-     * are cleared from now on.
+     * True when an urgent gang should wait for machines that have its image cached instead of starting on the chosen
+     * ones. The machines with the image are being cleared for it already, or this call adds a preemption that clears
+     * them.
      */
     private boolean shouldWaitForMachinesWithImage(Pipeline job, List<SchedulableMachine> chosen) {
         if (snapshot.isPartlyPlacedGang(job) || !preemptionPlanner.isUrgentGang(job)) {
@@ -187,7 +192,7 @@
                 : preemptionPlanner.preemptForImage(job, longestFetchS);
     }
 
-    /** Assigns the job's next tasks to the chosen machines; returns how many tasks that are. */
+    /** Assigns unplaced tasks of the job to the chosen machines; returns the number of tasks assigned. */
     private int recordPlacements(Pipeline job, List<SchedulableMachine> chosen) {
         List<Integer> tasks = job.unplacedTasks(chosen.size());
         if (tasks.isEmpty()) {
--- a/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
@@ -12,10 +12,11 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * Decides which attempts are preempted for jobs without capacity. An urgent gang gets the machines where stopping work
- * of lower priority loses least. An array within its team's guaranteed share gets capacity from tasks with checkpoints
- * that have a lower priority or belong to a team beyond its own share. The machines stay reserved until the job has
- * started there or the reservation expires.
+ * Decides which attempts are preempted for jobs that lack capacity.
+ *
+ * <p>An urgent gang preempts work of lower priority, on the machines where the least work is lost. An array within its
+ * team's guaranteed share preempts tasks with checkpoints that have a lower priority or belong to another team that
+ * exceeds its own share. The machines stay reserved until the job has started there or the reservation expires.
  */
 final class PreemptionPlanner {
     private final ClusterSnapshot snapshot;
@@ -25,7 +26,7 @@
     private final GangPreemption gangPreemption;
     private final List<Preemption> preemptions = new ArrayList<>();
 
-    /** A planner that works on the same capacity and usage as the placement planner of the pass. */
+    /** Creates a planner that shares the machines' capacity and the teams' usage with the placement planner. */
     PreemptionPlanner(ClusterSnapshot snapshot, List<SchedulableMachine> machines, FairShares fairShares) {
         this.snapshot = snapshot;
         this.machines = machines;
@@ -40,11 +41,11 @@
     }
 
     /**
-     * Preempts work on machines that have the gang's image, so that its members needn't wait for the slowest image
-     * fetch on free machines. Returns false, without effect, where the stopped work would lose more than the fetch
-     * takes.
+     * Preempts work on machines that have the gang's image, so that its members don't have to wait for the slowest
+     * image fetch on free machines. Returns false and preempts nothing when preemption would lose at least as many core
+     * seconds as the gang would spend on the fetch, or when too few machines have the image.
      *
-     * @param fetchS seconds of the slowest image fetch on free machines
+     * @param fetchS duration of the slowest image fetch on free machines, in seconds
      */
     boolean preemptForImage(Pipeline gang, double fetchS) {
         Submission spec = gang.spec();
@@ -58,7 +59,7 @@
         return true;
     }
 
-    /** All preemptions of the plan: those made for image locality before, and those for the demands. */
+    /** Preempts for the demands; returns all preemptions of the plan, including the earlier ones for image locality. */
     List<Preemption> preempt(List<ResourceDemand> demands) {
         ArrayPreemption arrayPreemption = new ArrayPreemption(snapshot, machines, victims, fairShares);
         for (ResourceDemand demand : demands) {
@@ -83,13 +84,13 @@
             return false;
         }
         if (isUrgentGang(job)) {
-            // For a gang that lacks some members only, as many machines would be cleared as all its tasks need.
+            // Preemption clears machines for all tasks of a gang, which is too many for a partly placed one.
             return job.attempts().isEmpty();
         }
         return !job.spec().gang() && demand.withinFairShare();
     }
 
-    /** Without an urgent gang, only tasks with checkpoints of jobs beyond their team's share come into question. */
+    /** Unless an urgent gang lacks capacity, only tasks with checkpoints of jobs beyond their team's share qualify. */
     private void collectVictims(List<ResourceDemand> demands) {
         if (demands.stream().anyMatch(demand -> isUrgentGang(demand.job()))) {
             victims.collect(job -> true);
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -17,19 +17,19 @@
 import org.spoolline.reconcile.StopRequests;
 
 /**
- * Machines that take tasks of one job only, for a bounded time: those preempted for it, and those kept for a gang that has
- * its image there.
+ * Machines that are each reserved for one job for a bounded time: machines cleared for a job by preemption, and
+ * machines that have the image of a gang which has to be placed again because its members' wait timed out.
  */
 final class Reservations implements MachineReservations {
     private final EventLoop loop;
     private final JobTable jobs;
     private final Map<String, Reservation> byJob = new LinkedHashMap<>();
-    /** Gangs for which machines with their image were cleared: once each, so that none waits for long. */
+    /** Gangs for which machines with their image have been cleared: at most once each, so that none waits for long. */
     private final Set<String> gangsPreemptedForImage = new HashSet<>();
 
-    /** A job's machines with the evictions that clear them, and the time until which they are reserved. */
+    /** A job's reserved machines, the evictions that clear them, and the time at which the reservation expires. */
     private record Reservation(Preemption preemption, long until) {
-        /** With one more machine, reserved at least until this time. */
+        /** Adds a machine and extends the reservation to at least {@code atLeastUntil}. */
         Reservation withMachine(String machine, long atLeastUntil) {
             Set<String> machines = new LinkedHashSet<>(preemption.machines());
             machines.add(machine);
@@ -44,23 +44,23 @@
         this.jobs = jobs;
     }
 
-    /** Forgets the reservations of an earlier term. */
+    /** Removes all reservations; to be called at the start of a term. */
     void clear() {
         byJob.clear();
         gangsPreemptedForImage.clear();
     }
 
-    /** Forgets what is remembered of a job for as long as it lives, now that it is in a terminal state. */
+    /** Removes the record of a preemption for image locality, once the job has reached a terminal state. */
     void forget(String jobId) {
         gangsPreemptedForImage.remove(jobId);
     }
 
-    /** Gangs for which machines with their image were cleared in this term. */
+    /** Ids of the gangs for which machines with their image have been cleared in this term. */
     Set<String> gangsPreemptedForImage() {
         return gangsPreemptedForImage;
     }
 
-    /** Reserves the machines of a preemption for its job. */
+    /** Reserves the machines of a preemption for its job; replaces an earlier reservation of the job. */
     void reserve(Preemption preemption) {
         byJob.put(preemption.jobId(), new Reservation(preemption, loop.now() + Constants.Placement.RESERVATION_MS));
         if (preemption.forImageLocality()) {
@@ -76,13 +76,13 @@
         byJob.put(jobId, reservation.withMachine(machine, until));
     }
 
-    /** The machines that are reserved for a job. */
+    /** Names of the machines reserved for a job; empty when there are none. */
     Set<String> machinesReservedFor(String jobId) {
         Reservation reservation = byJob.get(jobId);
         return reservation == null ? Set.of() : reservation.preemption().machines();
     }
 
-    /** The job for which a machine is reserved, by machine. */
+    /** For each reserved machine, by name: the id of the job that it is reserved for. */
     Map<String, String> reservedJobsByMachine() {
         Map<String, String> jobsByMachine = new HashMap<>();
         byJob.forEach((jobId, reservation) ->
@@ -90,7 +90,7 @@
         return jobsByMachine;
     }
 
-    /** Adds the names of all reserved machines to a collection. */
+    /** Adds the names of all reserved machines to {@code names}. */
     void addMachinesTo(Collection<String> names) {
         byJob.values()
                 .forEach(reservation -> names.addAll(reservation.preemption().machines()));
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Ends the reservations of jobs that have started or reached a terminal state, and those whose time is up. */
+    /** Removes reservations of jobs that have started, were cancelled or reached a terminal state, and expired ones. */
     void expire() {
         byJob.values().removeIf(reservation -> {
             JobEntry entry = jobs.get(reservation.preemption().jobId());
@@ -118,7 +118,10 @@
         });
     }
 
-    /** A gang has started once it is placed in full; an array, once no attempt has to leave a machine for it. */
+    /**
+     * A gang counts as started once all its members are placed; an array, once none of the evicted attempts is left on
+     * the reserved machines.
+     */
     private boolean hasStarted(Pipeline job, Preemption preemption) {
         if (job.spec().gang()) {
             return job.attempts().size() == job.spec().tasks();
--- a/src/main/java/org/spoolline/scheduler/SchedulableMachine.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulableMachine.java
@@ -6,16 +6,16 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** A machine that accepts launches, with its free capacity and its reservation during one planning pass. */
+/** A machine that accepts launches, with its free capacity and its reservation within one planning pass. */
 final class SchedulableMachine extends Capacity {
     private final Machine machine;
-    /** The job that the machine is reserved for, or null. */
+    /** Id of the job that the machine is reserved for, or null. */
     private String reservedForJob;
 
     /**
-     * An empty machine.
+     * Creates a machine without any allocation.
      *
-     * @param reservedForJob id of the job that the machine is being cleared for, or null
+     * @param reservedForJob id of the job that the machine is reserved for, or null
      */
     SchedulableMachine(Machine machine, MachineType type, String reservedForJob) {
         super(type, machine.zone(), machine.spot());
@@ -23,7 +23,7 @@
         this.reservedForJob = reservedForJob;
     }
 
-    /** The machine as the registry knows it. */
+    /** The machine's entry in the registry. */
     Machine machine() {
         return machine;
     }
@@ -33,12 +33,12 @@
         return machine.name();
     }
 
-    /** True when the machine accepts tasks of a single job only. */
+    /** True when the machine is reserved for a job and accepts tasks of that job only. */
     boolean isReserved() {
         return reservedForJob != null;
     }
 
-    /** Keeps the machine from all jobs but this one for the rest of the pass. */
+    /** Reserves the machine for the job until the end of the planning pass. */
     void reserve(String jobId) {
         reservedForJob = jobId;
     }
@@ -48,19 +48,19 @@
         return 1 - cores() / type().cores();
     }
 
-    /** True when the job may use this machine, whatever capacity is free on it. */
+    /** True when constraints, avoided machines and reservations allow the job here; free capacity is not checked. */
     boolean accepts(Pipeline job) {
         return permits(job.spec())
                 && !job.avoids(name())
                 && (reservedForJob == null || reservedForJob.equals(job.jobId()));
     }
 
-    /** True when the machine has the job's image. */
+    /** True when the machine is expected to have the job's image cached. */
     boolean hasImage(Submission job) {
         return machine.hasImage(job.image());
     }
 
-    /** Seconds that the machine needs to fetch the job's image; 0 when it has the image. */
+    /** Seconds that the machine takes to fetch the job's image; 0 when the image is cached. */
     double imageFetchS(Submission job) {
         return hasImage(job) ? 0 : job.imageGb() / type().fetchGbPerS();
     }
--- a/src/main/java/org/spoolline/scheduler/TeamUsage.java
+++ b/src/main/java/org/spoolline/scheduler/TeamUsage.java
@@ -4,18 +4,18 @@
 import org.spoolline.config.Settings;
 import org.spoolline.pipeline.Submission;
 
-/** Cores and accelerators that tasks of one team use or request. Mutable and confined to one planning pass. */
+/** Total cores and accelerators that tasks of one team use or request. Mutable; confined to one planning pass. */
 final class TeamUsage {
     private double cores;
     private double accelerators;
 
-    /** Adds the resources of so many tasks of the job. */
+    /** Adds the resources of {@code tasks} tasks of the job. */
     void add(Submission job, int tasks) {
         cores += tasks * job.cores();
         accelerators += tasks * job.accelerators();
     }
 
-    /** Cores in total. */
+    /** Total cores. */
     double cores() {
         return cores;
     }
@@ -32,7 +32,7 @@
                 && accelerators <= team.maxAccelerators() + Constants.Placement.EPSILON;
     }
 
-    /** How many more tasks of the job the team's limits allow. */
+    /** The number of further tasks of the job that the team's limits allow. */
     int headroom(Settings.Team team, Submission job) {
         double tasks = Math.floor((team.maxCores() - cores) / job.cores() + Constants.Placement.EPSILON);
         if (job.accelerators() > 0) {
--- a/src/main/java/org/spoolline/scheduler/Victim.java
+++ b/src/main/java/org/spoolline/scheduler/Victim.java
@@ -11,12 +11,15 @@
 /**
  * An attempt that may be preempted.
  *
- * @param loss   core seconds of work that a stop throws away, or that saving a checkpoint takes
- * @param graceS grace period of the stop in seconds; 0 for an attempt that saves no checkpoint on the way
+ * @param loss   core seconds of work that are lost when the attempt stops, or spent on saving a checkpoint
+ * @param graceS grace period of the stop in seconds; 0 for an attempt that is stopped without saving a checkpoint
  */
 record Victim(Pipeline job, Attempt attempt, double loss, double graceS) {
 
-    /** A victim that saves a checkpoint only where it is worth it: others wait for its capacity meanwhile. */
+    /**
+     * Creates a victim that saves a checkpoint only if its unsaved work is worth it: the preempting job has to wait for
+     * the capacity while the checkpoint is saved.
+     */
     static Victim of(Pipeline job, Attempt attempt, Machine machine, long now) {
         Submission spec = job.spec();
         double ranS = machine.observedRunMs(AttemptId.of(job.jobId(), attempt), now) / 1000.0;
@@ -28,7 +31,7 @@
                 : new Victim(job, attempt, spec.cores() * unsavedS, 0);
     }
 
-    /** The job that the attempt belongs to. */
+    /** The submission of the job that the attempt belongs to. */
     Submission spec() {
         return job.spec();
     }
@@ -39,9 +42,9 @@
     }
 
     /**
-     * A machine along with the attempts to be preempted there.
+     * A machine and the attempts to be preempted on it.
      *
-     * @param cost core seconds that preemption and image fetch cost; 0 where no choice depends on it
+     * @param cost core seconds that preemption and image fetch cost; 0 for an array, which doesn't compare it
      */
     record OnMachine(SchedulableMachine machine, List<Victim> victims, double cost) {}
 }
--- a/src/main/java/org/spoolline/scheduler/Victims.java
+++ b/src/main/java/org/spoolline/scheduler/Victims.java
@@ -10,7 +10,7 @@
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.Pipeline;
 
-/** The attempts that may be preempted, by machine. They are collected once, and only when some job needs preemption. */
+/** The attempts that may be preempted, by machine. They are collected once, when the first job needs preemption. */
 final class Victims {
     private final ClusterSnapshot snapshot;
     private final Map<String, List<Victim>> byMachine = new HashMap<>();
@@ -21,7 +21,7 @@
         this.snapshot = snapshot;
     }
 
-    /** Collects the attempts of the preemptible jobs that match; does nothing after the first call. */
+    /** Collects the attempts of preemptible jobs that match the predicate; does nothing after the first call. */
     void collect(Predicate<Pipeline> matching) {
         if (collected) {
             return;
@@ -34,7 +34,10 @@
         }
     }
 
-    /** A gang would lose all its members for the capacity of one; a cancelled job's attempts stop anyway. */
+    /**
+     * Excludes gangs of several members, which would all be lost for the capacity of one, and cancelled jobs, whose
+     * attempts stop anyway.
+     */
     private static boolean isPreemptible(Pipeline job) {
         boolean severalMembers = job.spec().gang() && job.spec().tasks() > 1;
         return !severalMembers && !job.cancelled();
@@ -51,14 +54,14 @@
         }
     }
 
-    /** The victims on a machine, none where there are none. */
+    /** The victims on a machine; empty when there are none. */
     List<Victim> onMachine(String machine) {
         return byMachine.getOrDefault(machine, List.of());
     }
 
     /**
-     * Seconds of work that preempting all tasks with checkpoints on the machine loses, on average over their cores. The
-     * first call for a machine also puts its victims in order, the least loss for each core first.
+     * Average loss per core, in seconds, of preempting all tasks with checkpoints on a machine that has victims; 0 if
+     * none of them has checkpoints. The first call for a machine also sorts its victims by loss per core, ascending.
      */
     double lossPerCore(String machine) {
         return lossPerCore.computeIfAbsent(machine, this::sortAndAverage);
