--- a/src/main/java/org/spoolline/cluster/Capacity.java
+++ b/src/main/java/org/spoolline/cluster/Capacity.java
@@ -4,8 +4,8 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * The free capacity of one machine during a planning pass. The machine may be running or still to be acquired. Mutable
- * and confined to the pass that created it; nothing is allocated on the machine itself.
+ * The free capacity of one machine, running or yet to be acquired, during a planning pass. Mutable and confined to the
+ * pass that created it. Allocations only affect the plan, not the machine.
  */
 public class Capacity {
     private final MachineType type;
@@ -15,7 +15,7 @@
     private double accelerators;
     private double memoryGb;
 
-    /** The capacity of an empty machine. */
+    /** Creates the capacity of a machine without any allocation. */
     public Capacity(MachineType type, String zone, boolean spot) {
         this.type = type;
         this.zone = zone;
@@ -25,7 +25,7 @@
         this.memoryGb = type.memoryGb();
     }
 
-    /** An independent copy, for a trial allocation. */
+    /** Returns an independent copy, for trial allocations. */
     public Capacity copy() {
         Capacity copy = new Capacity(type, zone, spot);
         copy.cores = cores;
@@ -34,7 +34,7 @@
         return copy;
     }
 
-    /** The machine's type, which bounds this capacity. */
+    /** The machine's type, which defines its total capacity. */
     public MachineType type() {
         return type;
     }
@@ -44,7 +44,7 @@
         return zone;
     }
 
-    /** True for a spot machine, which the cloud may take back. */
+    /** True for a spot machine, which the cloud may reclaim. */
     public boolean spot() {
         return spot;
     }
@@ -59,7 +59,7 @@
         return memoryGb;
     }
 
-    /** True when the job's constraints on machine type, zone and spot allow this machine, whatever is free on it. */
+    /** True when the job's constraints on type, zone and spot allow this machine; free capacity is not checked. */
     public boolean permits(Submission job) {
         return (job.machineTypes() == null || job.machineTypes().contains(type.name()))
                 && (job.zone() == null || job.zone().equals(zone))
@@ -73,14 +73,14 @@
                 && job.memoryGb() <= memoryGb + Constants.Placement.EPSILON;
     }
 
-    /** Takes the resources of one task of the job. */
+    /** Subtracts the resources of one task of the job from the free capacity. */
     public void allocate(Submission job) {
         cores -= job.cores();
         accelerators -= job.accelerators();
         memoryGb -= job.memoryGb();
     }
 
-    /** Returns the resources of one task of the job. */
+    /** Adds the resources of one task of the job back to the free capacity. */
     public void release(Submission job) {
         cores += job.cores();
         accelerators += job.accelerators();
--- a/src/main/java/org/spoolline/cluster/Downlink.java
+++ b/src/main/java/org/spoolline/cluster/Downlink.java
@@ -3,19 +3,22 @@
 import org.spoolline.config.Constants;
 
 /**
- * Whether the leader's responses arrive at a machine. Heartbeats may come from a machine that receives no response; no
- * launch would reach it, and its lease ends although it is answered.
+ * Detects whether the leader's responses reach a machine. A machine whose heartbeats arrive may still receive no
+ * responses. Launches would not reach it, and its lease expires although each heartbeat is answered.
  */
 final class Downlink {
     private static final long NEVER = -1;
 
-    /** What a heartbeat shows about the responses before it. */
+    /** What a heartbeat tells about the delivery of the responses to earlier ones. */
     enum Observation {
-        /** Nothing that counts: no response was due, or fewer are missing than a network may lose. */
+        /**
+         * Neither of the others: no response or no new token was sent, or so few responses are unacknowledged that the
+         * network may have lost them.
+         */
         INCONCLUSIVE,
-        /** The worker has seen a token that it had not seen before. */
+        /** The worker has observed a token that it had not observed before, so it received a response. */
         REACHABLE,
-        /** Responses don't arrive. The token is to be raised: only a new one can show that a later response arrives. */
+        /** Responses don't arrive. The caller must raise the token: only a new token can prove a later delivery. */
         UNREACHABLE
     }
 
@@ -24,23 +27,23 @@
     private int unacknowledgedResponses;
     private long unreachableSince = NEVER;
 
-    /** Notes that the last heartbeat was answered, and which token the response showed. */
+    /** Records a response to the last heartbeat with a renewed lease, and the token sent in it. */
     void recordResponse(long token, long now) {
         lastResponseAt = now;
         lastSentToken = token;
     }
 
-    /** When a heartbeat was last answered with a renewed lease, in ms of the loop's clock, or -1. */
+    /** Time of the last response that renewed the lease, in ms of the loop's clock; -1 before the first one. */
     long lastResponseAt() {
         return lastResponseAt;
     }
 
-    /** Since when responses are known not to arrive, or -1. */
+    /** Time at which responses were found not to arrive, in ms of the loop's clock; -1 while none are known to fail. */
     long unreachableSince() {
         return unreachableSince;
     }
 
-    /** Takes in a heartbeat that follows {@code previous}, before that one is replaced. */
+    /** Updates the state by a newer heartbeat; to be called before {@code previous} is replaced by it. */
     Observation observe(Heartbeat heartbeat, LastHeartbeat previous, long leaseMs, long now) {
         Observation observation = assess(heartbeat, previous, leaseMs, now);
         if (observation == Observation.REACHABLE) {
@@ -54,8 +57,9 @@
     }
 
     /**
-     * Only one heartbeat is in flight, so one that doesn't show the token of the response before has not received it;
-     * a lease that expired although it was renewed in time shows the same.
+     * A worker has only one heartbeat in flight. A heartbeat with a lower token than the last response therefore means
+     * that the worker did not receive that response. A new incarnation within the lease duration after a response means
+     * the same: the worker's lease expired although the response renewed it in time.
      */
     private Observation assess(Heartbeat heartbeat, LastHeartbeat previous, long leaseMs, long now) {
         if (lastResponseAt < 0) {
--- a/src/main/java/org/spoolline/cluster/EarlyHeartbeats.java
+++ b/src/main/java/org/spoolline/cluster/EarlyHeartbeats.java
@@ -1,8 +1,8 @@
 package org.spoolline.cluster;
 
 /**
- * The early-heartbeat requests to one machine. Each one raises the token that the machine is shown, within the range of
- * the present leadership, and a worker sends a heartbeat at once when it sees a raised token.
+ * Early-heartbeat requests to one machine. Each request raises the token sent to the machine, within the range reserved
+ * for the current leadership. A worker sends a heartbeat at once when it observes a raised token.
  */
 final class EarlyHeartbeats {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -10,23 +10,23 @@
     private long tokenIncrements;
     private long requestedAt = NEVER;
 
-    /** How far the machine's token is above the lowest one of the present leadership. */
+    /** Difference between the machine's token and the lowest worker token of the current leadership. */
     long tokenIncrements() {
         return tokenIncrements;
     }
 
-    /** When the last request was sent, in ms of the loop's clock; far in the past when there was none. */
+    /** Time of the last request in ms of the loop's clock; a time far in the past if there was none. */
     long requestedAt() {
         return requestedAt;
     }
 
-    /** Notes that a request is sent. */
+    /** Records a request, which raises the token. */
     void recordRequest(long now) {
         tokenIncrements++;
         requestedAt = now;
     }
 
-    /** Raises the token without a request, so that the next response shows one that no earlier response did. */
+    /** Raises the token without a request, so that the next response carries a token that was never sent before. */
     void raiseToken() {
         tokenIncrements++;
     }
--- a/src/main/java/org/spoolline/cluster/ImageCache.java
+++ b/src/main/java/org/spoolline/cluster/ImageCache.java
@@ -5,19 +5,20 @@
 import java.util.Map;
 
 /**
- * The container images that a machine is expected to hold, concluded from the attempts on it: workers don't report their
- * caches. Image locality is only a preference in placement, so a wrong guess costs no more than a fetch.
+ * Estimates which container images a machine has cached. Workers don't report their caches, so the estimate is derived
+ * from the attempts on the machine. Image locality is only a preference in placement: a wrong estimate costs an image
+ * fetch at most.
  */
 final class ImageCache {
     /** Sizes in GB by image, least recently used first. */
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>();
 
-    /** True when the image is expected to be there. */
+    /** True when the image is expected to be cached. */
     boolean contains(String image) {
         return images.containsKey(image);
     }
 
-    /** Notes the use of an image of {@code sizeGb} and drops the least recently used others over {@code cacheGb}. */
+    /** Records the use of an image and evicts the least recently used other images while all exceed {@code cacheGb}. */
     void recordUse(String image, double sizeGb, double cacheGb) {
         images.remove(image);
         images.put(image, sizeGb);
--- a/src/main/java/org/spoolline/cluster/LastHeartbeat.java
+++ b/src/main/java/org/spoolline/cluster/LastHeartbeat.java
@@ -4,7 +4,7 @@
 import java.util.OptionalDouble;
 import org.spoolline.pipeline.AttemptId;
 
-/** What a machine's last heartbeat said; numbers are -1 before the first one. */
+/** The content of a machine's last heartbeat and its time of receipt; numbers are -1 before the first heartbeat. */
 final class LastHeartbeat {
     private long receivedAt = -1;
     private String address = "";
@@ -15,12 +15,12 @@
     private OptionalDouble interruptionNoticeS = OptionalDouble.empty();
     private Map<AttemptId, TaskStatus> tasks = Map.of();
 
-    /** When it came, in ms of the loop's clock, or -1. */
+    /** Time of receipt in ms of the loop's clock; -1 before the first heartbeat. */
     long receivedAt() {
         return receivedAt;
     }
 
-    /** Host and port at which the worker takes commands, or empty. */
+    /** Host and port at which the worker accepts commands; empty if unknown. */
     String address() {
         return address;
     }
@@ -29,7 +29,7 @@
         return incarnation;
     }
 
-    /** When the first heartbeat of its incarnation came, in ms of the loop's clock, or -1. */
+    /** Time of receipt of the first heartbeat of its incarnation, in ms of the loop's clock; -1 before the first. */
     long incarnationSince() {
         return incarnationSince;
     }
@@ -38,7 +38,7 @@
         return number;
     }
 
-    /** The highest token that the worker had seen. */
+    /** The highest token that the worker had observed. */
     long token() {
         return token;
     }
@@ -52,14 +52,20 @@
     }
 
     /**
-     * True when the heartbeat was sent after this one. A worker's highest token only grows: a heartbeat that shows a
-     * lower one is of another life of the machine, whatever its numbers say.
+     * True when the given heartbeat was sent after this one. The highest token that a worker has observed never
+     * decreases, so a heartbeat with a lower token is from another run of the worker, before or after a restart, even
+     * if its incarnation or number is higher.
      */
     boolean precedes(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(incarnation, number) && heartbeat.token() >= token;
     }
 
-    /** Replaces this heartbeat; {@code listedTasks} holds its tasks. Returns true when it shows a change. */
+    /**
+     * Replaces the content by that of a newer heartbeat. Returns true when a scheduling cycle has to evaluate it: the
+     * incarnation, token or tasks differ, or either heartbeat has an interruption notice.
+     *
+     * @param listedTasks the newer heartbeat's tasks by attempt
+     */
     boolean replaceWith(Heartbeat heartbeat, Map<AttemptId, TaskStatus> listedTasks, long now) {
         boolean unchanged = heartbeat.incarnation() == incarnation
                 && heartbeat.token() == token
--- a/src/main/java/org/spoolline/cluster/Machine.java
+++ b/src/main/java/org/spoolline/cluster/Machine.java
@@ -5,17 +5,17 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * What the leader knows of one machine under its present leadership. Changed and read on the event loop only. All times
- * are in ms of the loop's clock.
+ * The leader's state of one machine during its current leadership. Accessed on the event loop only. All times are in
+ * ms of the loop's clock.
  */
 public final class Machine {
-    /** What a heartbeat shows against the one before. */
+    /** How a heartbeat differs from the last one. */
     public enum HeartbeatChange {
-        /** It is a late copy of an earlier one, and counts for nothing. */
+        /** It is not newer than the last one, as a delayed or duplicated heartbeat, and is ignored. */
         STALE,
-        /** Nothing but that the machine is alive. */
+        /** It only shows that the machine is alive. */
         UNCHANGED,
-        /** Something that a scheduling cycle has to look at. */
+        /** It has a change that a scheduling cycle has to evaluate. */
         CHANGED
     }
 
@@ -33,14 +33,14 @@
     private boolean draining;
     private boolean evacuating;
 
-    /** A machine that is known from {@code knownSince} on and has sent no heartbeat yet. */
+    /** Creates a machine without any heartbeat, idle since {@code knownSince}. */
     public Machine(String name, String type, String zone, boolean spot, long knownSince) {
         this.identity = new MachineIdentity(name, type, zone, spot);
         this.knownSince = knownSince;
         this.idleSince = knownSince;
     }
 
-    /** The machine's name, unique among all machines ever known. */
+    /** The machine's name, which is unique and never reused. */
     public String name() {
         return identity.name();
     }
@@ -50,7 +50,7 @@
         return identity.type();
     }
 
-    /** The zone that it runs in. */
+    /** The machine's zone. */
     public String zone() {
         return identity.zone();
     }
@@ -60,52 +60,52 @@
         return identity.spot();
     }
 
-    /** Host and port at which the worker takes commands; empty when it has not said. */
+    /** Host and port at which the worker accepts commands; empty if unknown. */
     public String address() {
         return lastHeartbeat.address();
     }
 
-    /** The incarnation of the last heartbeat, or -1. A worker begins a new one when its lease has expired. */
+    /** The incarnation of the last heartbeat; -1 before the first. A worker increments it when its lease expires. */
     public long incarnation() {
         return lastHeartbeat.incarnation();
     }
 
-    /** When the first heartbeat of that incarnation came under the present leadership, or -1. */
+    /** Time of receipt of that incarnation's first heartbeat during the current leadership; -1 before the first. */
     public long incarnationSince() {
         return lastHeartbeat.incarnationSince();
     }
 
-    /** The number of the last heartbeat within its incarnation, or -1. */
+    /** The number of the last heartbeat within its incarnation; -1 before the first. */
     public long heartbeatNumber() {
         return lastHeartbeat.number();
     }
 
-    /** The tasks that the last heartbeat lists. */
+    /** The tasks listed in the last heartbeat; empty before the first. */
     public Map<AttemptId, TaskStatus> tasks() {
         return lastHeartbeat.tasks();
     }
 
-    /** True when the last heartbeat says that the cloud is about to take the machine back. */
+    /** True when the last heartbeat has a notice that the cloud is about to reclaim the machine. */
     public boolean hasInterruptionNotice() {
         return lastHeartbeat.hasInterruptionNotice();
     }
 
-    /** True when a heartbeat has come under the present leadership. */
+    /** True once a heartbeat has been received during the current leadership. */
     public boolean hasReported() {
         return lastHeartbeat.receivedAt() >= 0;
     }
 
-    /** When the last heartbeat came, or -1. */
+    /** Time of receipt of the last heartbeat; -1 before the first. */
     public long lastHeartbeatAt() {
         return lastHeartbeat.receivedAt();
     }
 
-    /** True when the machine has seen the token, so that no launch of an earlier leader can take effect any more. */
+    /** True when the worker has observed the token, after which it executes no launch of an earlier leader. */
     public boolean hasAcknowledged(long token) {
         return lastHeartbeat.token() >= token;
     }
 
-    /** Takes in a heartbeat unless it is stale: late copies change nothing. */
+    /** Applies a heartbeat, unless it is stale: a stale one changes nothing. */
     public HeartbeatChange accept(Heartbeat heartbeat, long leaseMs, long now) {
         if (!lastHeartbeat.precedes(heartbeat)) {
             return HeartbeatChange.STALE;
@@ -129,29 +129,29 @@
         return HeartbeatChange.CHANGED;
     }
 
-    /** Notes that the last heartbeat was answered with a renewed lease, and which token the response showed. */
+    /** Records a response to the last heartbeat with a renewed lease, and the token sent in it. */
     public void recordResponse(long token, long now) {
         downlink.recordResponse(token, now);
     }
 
-    /** When a heartbeat was last answered with a renewed lease, or -1. */
+    /** Time of the last response that renewed the lease; -1 before the first. */
     public long lastResponseAt() {
         return downlink.lastResponseAt();
     }
 
-    /** True when the machine's heartbeats come but responses to them don't arrive: no launch would. */
+    /** True when heartbeats arrive from the machine but the responses don't reach it, so no launch would either. */
     public boolean downlinkUnreachable() {
         return downlink.unreachableSince() >= 0;
     }
 
-    /** Since when responses don't arrive at the machine, or -1. */
+    /** Time at which responses were found not to reach the machine; -1 while none are known to fail. */
     public long downlinkUnreachableSince() {
         return downlink.unreachableSince();
     }
 
     /**
-     * True when the worker should ask the other controllers before it is answered here: once a period, so that it
-     * neither misses a newer leader nor loses its lease.
+     * True when the heartbeat should be rejected, so that the worker asks the other controllers for a newer leader. It
+     * returns true only once per period; the lease is renewed by the heartbeats in between.
      */
     public boolean shouldProbeForLeader(long now, long periodMs) {
         if (now - lastLeaderProbeAt <= periodMs) {
@@ -161,108 +161,108 @@
         return true;
     }
 
-    /** How far the machine's token is raised above the lowest one of the present leadership. */
+    /** Difference between the machine's token and the lowest worker token of the current leadership. */
     public long tokenIncrements() {
         return earlyHeartbeats.tokenIncrements();
     }
 
-    /** When the last early-heartbeat request was sent; far in the past when there was none. */
+    /** Time of the last early-heartbeat request; a time far in the past if there was none. */
     public long earlyHeartbeatRequestedAt() {
         return earlyHeartbeats.requestedAt();
     }
 
-    /** Notes that an early-heartbeat request is sent: from now on the machine is shown the raised token only. */
+    /** Records an early-heartbeat request. It raises the token that is sent to the machine from now on. */
     public void recordEarlyHeartbeatRequest(long now) {
         earlyHeartbeats.recordRequest(now);
     }
 
-    /** True once a termination proof covers the machine and everything on it. */
+    /** True once the machine is proven to be terminated, with all attempts on it. */
     public boolean terminated() {
         return terminated;
     }
 
-    /** Marks the machine terminated, for good. */
+    /** Marks the machine as terminated, permanently. */
     public void markTerminated() {
         terminated = true;
     }
 
-    /** True when no new work may go here, because the machine is to be returned. */
+    /** True when the machine accepts no new tasks because it is to be released. */
     public boolean draining() {
         return draining;
     }
 
-    /** Keeps new work off the machine; its tasks run on. */
+    /** Stops the placement of new tasks on the machine; its current tasks keep running. */
     public void drain() {
         draining = true;
     }
 
-    /** Drains the machine with graceful eviction: tasks that save checkpoints are to move to other machines. */
+    /** Drains the machine and evicts tasks that have checkpoints or have not started, to move them elsewhere. */
     public void evacuate() {
         draining = true;
         evacuating = true;
     }
 
-    /** True when tasks that save checkpoints are to leave the machine. */
+    /** True when tasks that have checkpoints or have not started are to be evicted. */
     public boolean evacuating() {
         return evacuating;
     }
 
-    /** Since when the machine is known, or has been up as the cloud says. */
+    /** Time from which the machine is known, or from which it has been acquired according to the cloud's list. */
     public long knownSince() {
         return knownSince;
     }
 
-    /** When the machine last had work, or came up. */
+    /** Time at which the machine last had work; initially the time from which it is known. */
     public long idleSince() {
         return idleSince;
     }
 
-    /** Notes that the machine has work now. */
+    /** Records that the machine has work at this time. */
     public void markBusy(long now) {
         idleSince = now;
     }
 
-    /** When one of the cloud's lists last held the machine, or -1. */
+    /** Time of the last machine list of the cloud that contained this machine; -1 before the first. */
     public long lastListedAt() {
         return lastListedAt;
     }
 
-    /** Notes that one of the cloud's lists holds the machine. */
+    /** Records that a machine list of the cloud contains this machine. */
     public void markListed(long now) {
         lastListedAt = now;
     }
 
-    /** Notes that the response to the last heartbeat orders a launch. */
+    /** Records that the response to the last heartbeat orders a launch. */
     public void recordLaunch(AttemptId attemptId) {
         history.recordLaunch(attemptId, heartbeatNumber());
     }
 
-    /** True when a launch may be on its way that the last heartbeat can't show yet. */
+    /** True when a launch was ordered in response to the last heartbeat, so that no heartbeat can list it yet. */
     public boolean launchPending(AttemptId attemptId) {
         return history.launchedAtHeartbeat(attemptId) >= heartbeatNumber();
     }
 
-    /** Ms for which the task has been seen running here. */
+    /** Ms since the first heartbeat that listed the task as running here; 0 for a task not listed as running. */
     public long observedRunMs(AttemptId attemptId, long now) {
         return history.observedRunMs(attemptId, now);
     }
 
-    /** Notes a failed task; returns the number of different jobs that failed here since a task last completed. */
+    /** Records a failed task; returns the number of distinct jobs with failures here since a task last completed. */
     public int recordTaskFailure(String jobId) {
         return history.recordFailure(jobId);
     }
 
-    /** Notes a completed task: failures before it don't count against the machine. */
+    /** Records a completed task. Earlier failures no longer count against the machine. */
     public void recordTaskCompletion() {
         history.recordCompletion();
     }
 
-    /** True when the machine is expected to hold the image. */
+    /** True when the machine is expected to have the image cached. */
     public boolean hasImage(String image) {
         return images.contains(image);
     }
 
-    /** Notes the use of an image, dropping the least recently used ones over the cache's size. */
+    /** Records the use of an image, which evicts the least recently used ones when the cache is full. */
     public void recordImageUse(String image, double sizeGb, double cacheGb) {
         images.recordUse(image, sizeGb, cacheGb);
     }
--- a/src/main/java/org/spoolline/cluster/MachineIdentity.java
+++ b/src/main/java/org/spoolline/cluster/MachineIdentity.java
@@ -1,11 +1,11 @@
 package org.spoolline.cluster;
 
 /**
- * What never changes about a machine.
+ * The immutable properties of a machine.
  *
- * @param name unique among all machines ever known
+ * @param name unique and never reused
  * @param type the name of its {@link MachineType}
- * @param zone the zone it runs in
- * @param spot true for a spot machine, which the cloud may take back
+ * @param zone the machine's zone
+ * @param spot true for a spot machine, which the cloud may reclaim
  */
 record MachineIdentity(String name, String type, String zone, boolean spot) {}
--- a/src/main/java/org/spoolline/cluster/MachineRegistry.java
+++ b/src/main/java/org/spoolline/cluster/MachineRegistry.java
@@ -7,42 +7,42 @@
 import java.util.Map;
 
 /**
- * Every machine that the leader has heard of under its present leadership, in the order in which it did. Terminated ones
- * stay, so that late heartbeats from them are recognised. Used on the event loop only.
+ * All machines known to the leader during its current leadership, in order of registration. Terminated machines are
+ * retained, so that delayed heartbeats from them are recognized. Accessed on the event loop only.
  */
 public final class MachineRegistry {
     private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-    /** The machine of this name, or null when it is not known. */
+    /** The machine of this name; null if it is unknown. */
     public Machine get(String name) {
         return machines.get(name);
     }
 
-    /** All machines, terminated ones too; a live view. */
+    /** All machines, including terminated ones; a live view. */
     public Collection<Machine> all() {
         return machines.values();
     }
 
-    /** All machines by name; a live view. */
+    /** All machines by name, including terminated ones; a live view. */
     public Map<String, Machine> byName() {
         return machines;
     }
 
-    /** The machine of this name. One that is not known yet is registered with what follows the name. */
+    /** The machine of this name. An unknown machine is registered with the given properties. */
     public Machine getOrRegister(String name, String type, String zone, boolean spot, long knownSince) {
         return machines.computeIfAbsent(name, n -> new Machine(n, type, zone, spot, knownSince));
     }
 
-    /** Forgets all machines, as a new leadership does. */
+    /** Removes all machines; to be called at the start of a leadership. */
     public void clear() {
         machines.clear();
     }
 
     /**
-     * Machines that take new work: they send heartbeats, receive the responses, and are neither draining nor about to be
-     * taken back.
+     * Machines on which new tasks may be placed: they send heartbeats, receive the responses, and are neither draining
+     * nor about to be reclaimed by the cloud.
      *
-     * @param overdueMs ms after its last heartbeat from which a machine gets no new work
+     * @param overdueMs time since its last heartbeat after which a machine gets no new tasks
      */
     public List<Machine> schedulable(long now, long overdueMs) {
         List<Machine> schedulable = new ArrayList<>();
--- a/src/main/java/org/spoolline/cluster/MachineType.java
+++ b/src/main/java/org/spoolline/cluster/MachineType.java
@@ -4,13 +4,13 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * A machine type as the cloud offers it.
+ * A machine type offered by the cloud.
  *
  * @param memoryGb    memory in GB
  * @param cacheGb     size of the image cache in GB
- * @param fetchGbPerS rate at which images are fetched, in GB a second
- * @param price       price of an on-demand machine for an hour
- * @param spotPrice   price of a spot machine for an hour
+ * @param fetchGbPerS image fetch rate in GB per second
+ * @param price       price of an on-demand machine per hour
+ * @param spotPrice   price of a spot machine per hour
  * @param bootS       nominal boot time in seconds
  * @param zones       zones that offer the type
  */
@@ -25,7 +25,7 @@
         double spotPrice,
         double bootS,
         List<String> zones) {
-    /** Quotients closer than this to the next integer count as that integer. */
+    /** A quotient less than this below an integer is rounded up to it, to compensate for floating-point errors. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     /** True when one task of the job fits an empty machine of this type and the job's constraints allow the type. */
@@ -37,7 +37,7 @@
                 && (job.zone() == null || zones.contains(job.zone()));
     }
 
-    /** How many tasks of the job fit an empty machine of this type. */
+    /** The number of the job's tasks that fit an empty machine of this type. */
     public int tasksPerMachine(Submission job) {
         double count = Math.floor(cores / job.cores() + ROUNDING_TOLERANCE);
         if (job.accelerators() > 0) {
--- a/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
@@ -14,8 +14,8 @@
 import org.spoolline.net.Json;
 
 /**
- * The machine types, read from the cloud or, while the cloud does not reply, from the key-value store. Confined to the
- * event loop.
+ * The machine types, read from the cloud or, until the cloud replies, from the key-value store. Confined to the event
+ * loop.
  */
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
@@ -37,17 +37,20 @@
         this.store = store;
     }
 
-    /** The types by name, in the cloud's order; empty until they are known. */
+    /** The types by name, in the order of the cloud's reply; empty until they are known. */
     public Map<String, MachineType> types() {
         return types;
     }
 
-    /** True once the types have been read from anywhere. */
+    /** True once the types have been read from the cloud or the key-value store. */
     public boolean isKnown() {
         return !types.isEmpty();
     }
 
-    /** Reads the types until the cloud has replied. Every node does so once. */
+    /**
+     * Reads the types from the cloud and retries until a reply names some; until then the stored types are used. Each
+     * node calls this once.
+     */
     public void start() {
         refresh(succeeded -> {
             if (succeeded) {
@@ -71,9 +74,9 @@
     }
 
     /**
-     * Reads the types from the cloud once.
+     * Reads the types from the cloud with a single request.
      *
-     * @param done runs on the event loop; with true when the reply named some types, which replace the former ones
+     * @param done called on the event loop; with true when the reply names types, which then replace the current ones
      */
     public void refresh(Consumer<Boolean> done) {
         http.call(
@@ -85,7 +88,7 @@
                 reply -> done.accept(reply.ok() && replaceTypes(Json.read(reply.body()))));
     }
 
-    /** Returns false, without effect, when the reply names no type. */
+    /** Replaces the types by those in the reply; returns false and keeps the current types when it names none. */
     private boolean replaceTypes(JsonNode reply) {
         Map<String, MachineType> newTypes = MachineTypeCodec.parse(reply);
         if (newTypes.isEmpty()) {
@@ -100,7 +103,10 @@
         return true;
     }
 
-    /** Stores the reply once for nodes that start while the cloud is unreachable; all but prices in it is constant. */
+    /**
+     * Stores the reply, unless one is stored already, for nodes that start while the cloud is unreachable. It needs no
+     * update: only the prices in it change.
+     */
     private void writeToStore(JsonNode reply) {
         Transaction transaction = new Transaction().requireVersion(KEY, 0).put(KEY, reply);
         if (store.tryAcquire(1)) {
--- a/src/main/java/org/spoolline/cluster/ResourceDemand.java
+++ b/src/main/java/org/spoolline/cluster/ResourceDemand.java
@@ -3,9 +3,9 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Tasks of a job that no machine has capacity for, limited to what the job's team may run.
+ * Tasks of a job that its team's limits allow but for which no machine has capacity.
  *
- * @param tasks           how many tasks
- * @param withinFairShare whether the job fits its team's guaranteed share
+ * @param tasks           number of tasks
+ * @param withinFairShare true when the job is within its team's guaranteed share
  */
 public record ResourceDemand(Pipeline job, int tasks, boolean withinFairShare) {}
--- a/src/main/java/org/spoolline/cluster/TaskHistory.java
+++ b/src/main/java/org/spoolline/cluster/TaskHistory.java
@@ -7,7 +7,7 @@
 import org.agrona.collections.Object2LongHashMap;
 import org.spoolline.pipeline.AttemptId;
 
-/** What the leader remembers of a machine's tasks beyond its last heartbeat: launches, run times and failures. */
+/** Launches, run times and failures of a machine's tasks, which its last heartbeat alone does not tell. */
 final class TaskHistory {
     private static final long NEVER = -1;
 
@@ -15,22 +15,22 @@
     private final Map<AttemptId, Long> runningSince = new HashMap<>();
     private final Set<String> failedJobs = new HashSet<>();
 
-    /** Notes that the response to the heartbeat of this number ordered a launch. */
+    /** Records that the response to the heartbeat of this number ordered a launch. */
     void recordLaunch(AttemptId attemptId, long heartbeatNumber) {
         launchedAtHeartbeat.put(attemptId, heartbeatNumber);
     }
 
-    /** The number of the heartbeat whose response last ordered the launch, if it is not listed since; else -1. */
+    /** The number of the heartbeat whose response last ordered the launch; -1 for none, or once it has been listed. */
     long launchedAtHeartbeat(AttemptId attemptId) {
         return launchedAtHeartbeat.getValue(attemptId);
     }
 
-    /** A new incarnation counts its heartbeats anew, and no launch of an earlier one reaches it. */
+    /** To be called on a new incarnation: it numbers heartbeats from 0 and executes no launch for an earlier one. */
     void forgetLaunches() {
         launchedAtHeartbeat.clear();
     }
 
-    /** Notes a task that a heartbeat lists. */
+    /** Records a task that a heartbeat lists. */
     void observe(AttemptId attemptId, TaskStatus.Phase phase, long now) {
         launchedAtHeartbeat.remove(attemptId);
         if (phase == TaskStatus.Phase.RUNNING) {
@@ -38,24 +38,24 @@
         }
     }
 
-    /** Forgets the run times of tasks that are not listed any more. */
+    /** Removes the run times of all tasks except those listed in the last heartbeat. */
     void retainRunTimes(Set<AttemptId> listed) {
         runningSince.keySet().retainAll(listed);
     }
 
-    /** Ms for which the task has been seen running. */
+    /** Ms since the first heartbeat that listed the task as running; 0 for a task not listed as running. */
     long observedRunMs(AttemptId attemptId, long now) {
         Long since = runningSince.get(attemptId);
         return since == null ? 0 : now - since;
     }
 
-    /** Notes a failed task; returns the number of different jobs that failed since a task last completed. */
+    /** Records a failed task; returns the number of distinct jobs with failures since a task last completed. */
     int recordFailure(String jobId) {
         failedJobs.add(jobId);
         return failedJobs.size();
     }
 
-    /** A completed task shows that the machine works, so failures before it don't count against it. */
+    /** Resets the failures: a completed task shows that the machine works. */
     void recordCompletion() {
         failedJobs.clear();
     }
--- a/src/main/java/org/spoolline/cluster/TaskStatus.java
+++ b/src/main/java/org/spoolline/cluster/TaskStatus.java
@@ -3,23 +3,23 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * The status of one attempt as its machine's heartbeat lists it.
+ * The status of one attempt, as listed in a heartbeat of its machine.
  *
- * @param jobId the job
+ * @param jobId the job's id
  * @param task the task's index within the job, from 0
  * @param attempt the number of the attempt
- * @param phase what the attempt is doing
- * @param exitReason why it ended; null unless it has exited
- * @param checkpointed true when it saved a checkpoint as it ended
+ * @param phase the attempt's current phase
+ * @param exitReason why the attempt ended; null unless it has exited
+ * @param checkpointed true when the attempt saved a checkpoint before it ended
  */
 public record TaskStatus(
         String jobId, int task, long attempt, Phase phase, ExitReason exitReason, boolean checkpointed) {
-    /** The attempt that this is the status of. */
+    /** The attempt's id. */
     public AttemptId attemptId() {
         return new AttemptId(jobId, task, attempt);
     }
 
-    /** Written out, see {@link org.spoolline.pipeline.Attempt#equals}. */
+    /** Not generated, for the reason given at {@link org.spoolline.pipeline.Attempt#equals}. */
     @Override
     public boolean equals(Object other) {
         return other instanceof TaskStatus status
@@ -36,35 +36,35 @@
         return (jobId.hashCode() * 31 + task) * 31 + Long.hashCode(attempt);
     }
 
-    /** What an attempt is doing. */
+    /** The phases of an attempt on its machine. */
     public enum Phase {
-        /** Its image is being fetched. */
+        /** The worker is fetching the image. */
         FETCHING_IMAGE,
-        /** It waits until every member of its gang is there. */
+        /** The attempt has its image and waits until every member of its gang does. */
         WAITING_FOR_GANG,
-        /** It runs. */
+        /** The task is running. */
         RUNNING,
-        /** It has been told to stop and saves a checkpoint. */
+        /** The attempt was ordered to stop and is saving a checkpoint. */
         SAVING_CHECKPOINT,
-        /** It has ended; it is listed until the leader orders to clear it. */
+        /** The attempt has ended; the worker lists it until the leader orders to clear it. */
         EXITED
     }
 
     /** Why an attempt ended. */
     public enum ExitReason {
-        /** The task is done. */
+        /** The task finished successfully. */
         COMPLETED,
-        /** The leader ordered to stop it. */
+        /** The leader ordered the worker to stop the attempt. */
         STOPPED,
         /** Another member of its gang was lost. */
         GANG_MEMBER_LOST,
-        /** The other members of its gang did not come in time. */
+        /** The other members of its gang were not ready in time. */
         GANG_WAIT_TIMEOUT,
-        /** The task itself failed, or for a reason that is unknown here. */
+        /** The task itself failed, or the worker gave a reason that is not listed here. */
         FAILED,
         /** The machine lacks the capacity. */
         INSUFFICIENT_CAPACITY,
-        /** The machine still runs another attempt of the task. */
+        /** The machine is still running another attempt of the task. */
         ALREADY_RUNNING,
         /** The worker does not know the job. */
         UNKNOWN
--- a/src/main/java/org/spoolline/cluster/package-info.java
+++ b/src/main/java/org/spoolline/cluster/package-info.java
@@ -1,2 +1,2 @@
-/** Machines as the leader knows them: types, capacity, registry, heartbeats. */
+/** The leader's state of the machines: types, capacity, registry and heartbeats. */
 package org.spoolline.cluster;
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
@@ -18,14 +18,14 @@
  * @param jobs                   pipelines of the live jobs, as changed by this cycle's reconciliation
  * @param pendingWriteAttempts   by job id, for jobs whose write is in flight: the attempts of the committed and of the
  *                               proposed pipeline, since either set may occupy capacity
- * @param placeableJobs              ids of the jobs whose tasks may be placed in this cycle
+ * @param placeableJobs          ids of the jobs whose tasks may be placed in this cycle
  * @param machinesByName         all known machines by name, including those that accept no launches
- * @param schedulableMachines            machines that currently accept launches
- * @param reservedJobsByMachine            by machine name: the id of the job that the machine is being cleared for
+ * @param schedulableMachines    machines that currently accept launches
+ * @param reservedJobsByMachine  by machine name: the id of the job that the machine is reserved for
  * @param gangsPreemptedForImage ids of the gangs for which machines with their image have been cleared; this is done at
  *                               most once for each gang
  * @param inheritedPriorities    by job id, for jobs with dependents: the highest priority among the dependents
- * @param machineTypes                  machine types by name
+ * @param machineTypes           machine types by name
  * @param mayConsolidate         true when enough time has passed since the last consolidation for its tasks to move
  * @param timeOfDay              wall-clock time in ms, comparable with the times of jobs
  * @param now                    the event loop's monotonic clock in ms, comparable with the times of machines
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -29,7 +29,7 @@
 
     /** A job's reserved machines, the evictions that clear them, and the time at which the reservation expires. */
     private record Reservation(Preemption preemption, long until) {
-        /** Adds a machine and extends the reservation to at least {@code atLeastUntil}. */
+        /** Returns this reservation with one more machine and extended to at least {@code atLeastUntil}. */
         Reservation withMachine(String machine, long atLeastUntil) {
             Set<String> machines = new LinkedHashSet<>(preemption.machines());
             machines.add(machine);
--- a/src/test/java/org/spoolline/cluster/KeyEqualityTest.java
+++ b/src/test/java/org/spoolline/cluster/KeyEqualityTest.java
@@ -9,21 +9,21 @@
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.AttemptId;
 
-/** Equality that is written out by hand must look at every component, as a record's own does. */
+/** Guards against a component missing from the handwritten {@code equals} of records that are used as hash keys. */
 class KeyEqualityTest {
-    private static void assertAllDiffer(Object one, Object same, List<?> others) {
-        assertEquals(one, same);
-        assertEquals(one.hashCode(), same.hashCode());
-        for (Object other : others) {
-            assertNotEquals(one, other);
+    private static void assertComparesAllComponents(Object value, Object equalValue, List<?> differentValues) {
+        assertEquals(value, equalValue);
+        assertEquals(value.hashCode(), equalValue.hashCode());
+        for (Object different : differentValues) {
+            assertNotEquals(value, different);
         }
-        assertNotEquals(one, null);
-        assertNotEquals(one, "another type");
+        assertNotEquals(value, null);
+        assertNotEquals(value, "another type");
     }
 
     @Test
-    void attempts() {
-        assertAllDiffer(
+    void attemptEquality() {
+        assertComparesAllComponents(
                 new Attempt(1, 2, "m", 3),
                 new Attempt(1, 2, new String("m"), 3),
                 List.of(
@@ -34,16 +34,16 @@
     }
 
     @Test
-    void attemptIds() {
-        assertAllDiffer(
+    void attemptIdEquality() {
+        assertComparesAllComponents(
                 new AttemptId("u", 1, 2),
                 new AttemptId(new String("u"), 1, 2),
                 List.of(new AttemptId("v", 1, 2), new AttemptId("u", 0, 2), new AttemptId("u", 1, 0)));
     }
 
     @Test
-    void taskStatuses() {
-        assertAllDiffer(
+    void taskStatusEquality() {
+        assertComparesAllComponents(
                 status("u", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
                 status("u", 1, 2, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.COMPLETED, true),
                 List.of(
@@ -56,8 +56,8 @@
     }
 
     @Test
-    void scaleOutOffers() {
-        assertAllDiffer(
+    void scaleOutOfferEquality() {
+        assertComparesAllComponents(
                 new ScaleOutPlanner.Offer("t", "z", true),
                 new ScaleOutPlanner.Offer("t", "z", true),
                 List.of(
--- a/src/test/java/org/spoolline/cluster/MachineTest.java
+++ b/src/test/java/org/spoolline/cluster/MachineTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.spoolline.pipeline.AttemptId;
 
-/** What a machine's heartbeats and the responses to them show, one after the other. */
+/** Tests how heartbeats, responses and task results change the leader's state of a machine. */
 class MachineTest {
     private static final long LEASE_MS = 16_000;
     private static final AttemptId ATTEMPT = new AttemptId("run-1", 0, 1);
@@ -63,26 +63,26 @@
     void detectsChangedHeartbeats() {
         accept(1, 1, 3, 0);
         assertEquals(Machine.HeartbeatChange.UNCHANGED, accept(1, 2, 3, 1));
-        assertEquals(Machine.HeartbeatChange.CHANGED, accept(1, 3, 4, 2), "a token");
-        assertEquals(Machine.HeartbeatChange.CHANGED, accept(1, 4, 4, 3, status(TaskStatus.Phase.RUNNING)), "a task");
+        assertEquals(Machine.HeartbeatChange.CHANGED, accept(1, 3, 4, 2), "higher token");
+        assertEquals(Machine.HeartbeatChange.CHANGED, accept(1, 4, 4, 3, status(TaskStatus.Phase.RUNNING)), "new task");
         assertEquals(
-                Machine.HeartbeatChange.UNCHANGED, accept(1, 5, 4, 4, status(TaskStatus.Phase.RUNNING)), "no other");
+                Machine.HeartbeatChange.UNCHANGED, accept(1, 5, 4, 4, status(TaskStatus.Phase.RUNNING)), "same task");
         assertEquals(
                 Machine.HeartbeatChange.CHANGED,
                 accept(1, 6, 4, 5, OptionalDouble.of(30), status(TaskStatus.Phase.RUNNING)),
-                "a notice");
+                "interruption notice");
         assertEquals(
                 Machine.HeartbeatChange.CHANGED,
                 accept(1, 7, 4, 6, OptionalDouble.of(30), status(TaskStatus.Phase.RUNNING)),
-                "each notice");
+                "repeated interruption notice");
         assertEquals(
                 Machine.HeartbeatChange.CHANGED,
                 accept(1, 8, 4, 7, status(TaskStatus.Phase.RUNNING)),
-                "a notice taken back");
+                "withdrawn interruption notice");
         assertEquals(
                 Machine.HeartbeatChange.CHANGED,
                 accept(2, 0, 4, 8, status(TaskStatus.Phase.RUNNING)),
-                "an incarnation");
+                "new incarnation");
     }
 
     @Test
--- a/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
@@ -7,7 +7,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.simulation.Simulation;
 
-/** Which machines are evacuated while no job waits for capacity. */
+/** Tests which machines are evacuated while no job waits for capacity. */
 class ConsolidationPlannerTest {
     private final SchedulerFixture fixture = new SchedulerFixture(16);
 
@@ -16,7 +16,7 @@
         return SchedulerFixture.job(jobId, "blue", "batch", "standard", tasks, cores, checkpointS, acceptedAt);
     }
 
-    /** A machine on which one task of a job of its own has run for a minute. */
+    /** Adds a machine that has run the only task of a new job for 60 s. */
     private void addMachineRunning(String name, double cores, double checkpointS) throws Exception {
         fixture.running(
                         name,
@@ -25,7 +25,7 @@
                 .recordImageUse("img", 1, 20);
     }
 
-    private Set<String> evacuated(boolean mayConsolidate) {
+    private Set<String> machinesToEvacuate(boolean mayConsolidate) {
         return fixture.plan(Set.of(), mayConsolidate).evacuated();
     }
 
@@ -33,19 +33,19 @@
     void evacuatesLeastUsedMachineOfTasksWithCheckpoints() throws Exception {
         addMachineRunning("full", 12, 0);
         addMachineRunning("sparse", 4, 15);
-        addMachineRunning("sparse-too", 4, 15);
-        assertEquals(Set.of("sparse"), evacuated(true));
-        assertEquals(Set.of(), evacuated(false));
+        addMachineRunning("sparse-2", 4, 15);
+        assertEquals(Set.of("sparse"), machinesToEvacuate(true));
+        assertEquals(Set.of(), machinesToEvacuate(false));
     }
 
     @Test
     void doesNotMoveTasksWithoutCheckpoints() throws Exception {
         addMachineRunning("full", 12, 0);
         addMachineRunning("sparse", 4, 0);
-        assertEquals(Set.of(), evacuated(true));
+        assertEquals(Set.of(), machinesToEvacuate(true));
     }
 
-    /** Otherwise the next job would have to wait for a machine to boot. */
+    /** Guards against a consolidation that makes the next jobs wait for machines to boot. */
     @Test
     void keepsCapacityForRecentDemandFree() throws Exception {
         addMachineRunning("full", 12, 0);
@@ -53,6 +53,6 @@
         Pipeline recent = job("run-000009", 4, 4, 0, Simulation.START_OF_DAY + 50_000);
         recent.cancel();
         fixture.jobs.add(recent);
-        assertEquals(Set.of(), evacuated(true));
+        assertEquals(Set.of(), machinesToEvacuate(true));
     }
 }
--- a/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
@@ -8,7 +8,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.simulation.Simulation;
 
-/** Which attempts are preempted for other jobs, and with what grace period. */
+/** Tests which attempts are preempted for other jobs, and with what grace period. */
 class PreemptionPlannerTest {
     private final SchedulerFixture fixture = new SchedulerFixture(8);
 
@@ -17,7 +17,7 @@
         return SchedulerFixture.job(jobId, team, shape, urgency, 1, 8, checkpointS, Simulation.START_OF_DAY);
     }
 
-    /** A machine filled by a task with checkpoints that has run for so long. */
+    /** Adds a machine that is fully used by one task with checkpoints, which has run for {@code ranS} seconds. */
     private void addFullMachine(String name, double ranS) throws Exception {
         fixture.running(name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
     }
@@ -45,7 +45,7 @@
 
     @Test
     void arrayWithinFairSharePreemptsLeastLoss() throws Exception {
-        // The first two are within their own team's guaranteed share.
+        // The jobs on the first two machines are within the guaranteed share of their own team.
         addFullMachine("k", 30);
         addFullMachine("l", 30);
         addFullMachine("m", 40);
