--- a/src/main/java/org/spoolline/cluster/Downlink.java
+++ b/src/main/java/org/spoolline/cluster/Downlink.java
@@ -27,7 +27,7 @@
     private int unacknowledgedResponses;
     private long unreachableSince = NEVER;
 
-    /** Records a response to the last heartbeat with a renewed lease, and the token sent in it. */
+    /** Records that the last heartbeat was answered with a renewed lease, and the token in that response. */
     void recordResponse(long token, long now) {
         lastResponseAt = now;
         lastSentToken = token;
@@ -43,7 +43,7 @@
         return unreachableSince;
     }
 
-    /** Updates the state by a newer heartbeat; to be called before {@code previous} is replaced by it. */
+    /** Updates the state with a newer heartbeat; to be called before {@code previous} is replaced by it. */
     Observation observe(Heartbeat heartbeat, LastHeartbeat previous, long leaseMs, long now) {
         Observation observation = assess(heartbeat, previous, leaseMs, now);
         if (observation == Observation.REACHABLE) {
--- a/src/main/java/org/spoolline/cluster/Machine.java
+++ b/src/main/java/org/spoolline/cluster/Machine.java
@@ -129,7 +129,7 @@
         return HeartbeatChange.CHANGED;
     }
 
-    /** Records a response to the last heartbeat with a renewed lease, and the token sent in it. */
+    /** Records that the last heartbeat was answered with a renewed lease, and the token in that response. */
     public void recordResponse(long token, long now) {
         downlink.recordResponse(token, now);
     }
--- a/src/main/java/org/spoolline/cluster/TaskHistory.java
+++ b/src/main/java/org/spoolline/cluster/TaskHistory.java
@@ -7,7 +7,7 @@
 import org.agrona.collections.Object2LongHashMap;
 import org.spoolline.pipeline.AttemptId;
 
-/** Launches, run times and failures of a machine's tasks, which its last heartbeat alone does not tell. */
+/** State of a machine's tasks that its last heartbeat does not contain: pending launches, run times and failures. */
 final class TaskHistory {
     private static final long NEVER = -1;
 
--- a/src/main/java/org/spoolline/scheduler/GangPreemption.java
+++ b/src/main/java/org/spoolline/scheduler/GangPreemption.java
@@ -45,23 +45,23 @@
     }
 
     /** Total cost in core seconds of clearing these machines and of fetching the image there. */
-    static double totalCost(List<Victim.OnMachine> machinesWithVictims) {
-        return machinesWithVictims.stream().mapToDouble(Victim.OnMachine::cost).sum();
+    static double totalCost(List<Victim.OnMachine> chosen) {
+        return chosen.stream().mapToDouble(Victim.OnMachine::cost).sum();
     }
 
     private List<Victim.OnMachine> cheapest(Pipeline gang, Predicate<SchedulableMachine> allowed) {
-        List<Victim.OnMachine> machinesWithVictims = new ArrayList<>();
+        List<Victim.OnMachine> candidates = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
             if (machine.accepts(gang) && !machine.isReserved() && allowed.test(machine)) {
-                victimsFor(gang, machine).ifPresent(machinesWithVictims::add);
+                victimsFor(gang, machine).ifPresent(candidates::add);
             }
         }
         int tasks = gang.spec().tasks();
-        if (machinesWithVictims.size() < tasks) {
+        if (candidates.size() < tasks) {
             return List.of();
         }
-        machinesWithVictims.sort(Comparator.comparingDouble(Victim.OnMachine::cost));
-        List<Victim.OnMachine> cheapest = machinesWithVictims.subList(0, tasks);
+        candidates.sort(Comparator.comparingDouble(Victim.OnMachine::cost));
+        List<Victim.OnMachine> cheapest = candidates.subList(0, tasks);
         // The cost is infinite for a machine type whose image fetch rate is 0.
         return totalCost(cheapest) < Double.MAX_VALUE ? cheapest : List.of();
     }
--- a/src/main/java/org/spoolline/scheduler/MachineSelector.java
+++ b/src/main/java/org/spoolline/scheduler/MachineSelector.java
@@ -52,9 +52,9 @@
 
     private List<SchedulableMachine> candidates(Pipeline job) {
         Submission spec = job.spec();
-        // The members placed so far wait for the missing ones and exit after gang_wait_s. With a longer image fetch, a
-        // new member would come too late: the whole gang would be placed again, and its members on machines with the
-        // image would be launched last.
+        // The placed members wait for the missing ones and exit after gang_wait_s. A new member with a long image fetch
+        // would be ready too late: the whole gang would be placed again, and launch its members on machines with the
+        // image last.
         boolean limitsFetchTime = snapshot.isPartlyPlacedGang(job);
         double maxFetchS =
                 snapshot.settings().workers().gangWaitMs() / 1000.0 * Constants.Placement.GANG_COMPLETION_FETCH_SHARE;
--- a/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
@@ -119,7 +119,10 @@
         return !job.hasStarted() && eligibleForMs(job) > Constants.Placement.STARVATION_MS;
     }
 
-    /** True for a starving gang, until other jobs have been kept waiting for it long enough. */
+    /**
+     * True for a starving gang that has been eligible for less than
+     * {@link Constants.Placement#CAPACITY_ACCUMULATION_UNTIL_MS}: by then, other jobs have waited for it long enough.
+     */
     private boolean mayAccumulateCapacity(Pipeline job) {
         return job.spec().gang()
                 && isStarving(job)
--- a/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
@@ -43,7 +43,7 @@
     /**
      * Preempts work on machines that have the gang's image, so that its members don't have to wait for the slowest
      * image fetch on free machines. Returns false and preempts nothing when preemption would lose at least as many core
-     * seconds as the gang would spend on the fetch, or when too few machines have the image.
+     * seconds as the gang would spend on the fetch, or when too few machines with the image can be cleared.
      *
      * @param fetchS duration of the slowest image fetch on free machines, in seconds
      */
