--- a/src/main/java/org/spoolline/job/AttemptIndex.java
+++ b/src/main/java/org/spoolline/job/AttemptIndex.java
@@ -53,9 +53,7 @@
     }
 
     private void add(String jobId, Attempt attempt) {
-        byMachine
-                .computeIfAbsent(attempt.machine(), unknown -> new HashMap<>())
-                .put(AttemptId.of(jobId, attempt), attempt);
+        byMachine.computeIfAbsent(attempt.machine(), key -> new HashMap<>()).put(AttemptId.of(jobId, attempt), attempt);
     }
 
     private void remove(String jobId, Attempt attempt) {
--- a/src/main/java/org/spoolline/job/JobEntry.java
+++ b/src/main/java/org/spoolline/job/JobEntry.java
@@ -18,7 +18,7 @@
     /** The newest event that was observed while a write was in flight, or null. */
     private WatchEvent deferred;
 
-    private boolean cancellationSeen;
+    private boolean cancellationObserved;
     /** Committed attempts that this leader has decided to have ended. */
     private final Set<Attempt> released = new HashSet<>();
     /** Unlisted attempts of the committed value that it has decided to have ended. */
@@ -53,7 +53,7 @@
      * True when the attempt is stored, no write in flight removes it, and its end is not decided. Only such an attempt may be
      * launched or run on.
      */
-    public boolean holdsAttempt(Attempt attempt) {
+    public boolean isActive(Attempt attempt) {
         return committed.hasAttempt(attempt)
                 && (proposed == null || proposed.hasAttempt(attempt))
                 && !isReleased(attempt);
@@ -66,23 +66,23 @@
 
     /** True once a cancellation is known. Nothing undoes one, so it counts whatever is being written. */
     public boolean cancelled() {
-        return cancellationSeen || committed.cancelled() || proposed != null && proposed.cancelled();
+        return cancellationObserved || committed.cancelled() || proposed != null && proposed.cancelled();
     }
 
     /** Number of committed attempts, listed or not, whose end is not decided. */
-    int heldAttempts() {
-        int held = committed.attempts().size() - released.size();
-        return held + committed.unlistedAttempts() - releasedUnlisted;
+    int activeAttempts() {
+        int activeListed = committed.attempts().size() - released.size();
+        return activeListed + committed.unlistedAttempts() - releasedUnlisted;
     }
 
-    /** Notes that those of the committed attempts given which {@code next} lacks have ended. */
-    void release(Pipeline next, Collection<Attempt> decided) {
-        for (Attempt attempt : decided) {
-            if (committed.hasAttempt(attempt) && !next.hasAttempt(attempt)) {
+    /** Notes that those of the committed attempts given which {@code nextValue} lacks have ended. */
+    void release(Pipeline nextValue, Collection<Attempt> assessed) {
+        for (Attempt attempt : assessed) {
+            if (committed.hasAttempt(attempt) && !nextValue.hasAttempt(attempt)) {
                 released.add(attempt);
             }
         }
-        releasedUnlisted = Math.max(0, committed.unlistedAttempts() - next.unlistedAttempts());
+        releasedUnlisted = Math.max(0, committed.unlistedAttempts() - nextValue.unlistedAttempts());
     }
 
     /** Notes that the value is stored; what it lacks is no longer released but gone. */
@@ -94,12 +94,12 @@
     }
 
     /** Notes that a write of this value is in flight; null for none. */
-    void propose(Pipeline next) {
-        proposed = next;
+    void propose(Pipeline nextValue) {
+        proposed = nextValue;
     }
 
     void markCancelled() {
-        cancellationSeen = true;
+        cancellationObserved = true;
     }
 
     /** Keeps an event that arrives during a write until the outcome of the write is known. */
@@ -114,7 +114,7 @@
     }
 
     /** The newest deferred event, or null; it is not kept any longer. */
-    WatchEvent takeDeferred() {
+    WatchEvent pollDeferred() {
         WatchEvent event = deferred;
         deferred = null;
         return event;
--- a/src/main/java/org/spoolline/job/JobTable.java
+++ b/src/main/java/org/spoolline/job/JobTable.java
@@ -55,17 +55,18 @@
     }
 
     /**
-     * Records which committed attempts have ended, as this leader has decided: those that {@code next} lacks. Their capacity
+     * Records which committed attempts have ended, as this leader has decided: those that {@code nextValue} lacks. Their
+     * capacity
      * is free from now on, so the decision is final for this term: whatever is learnt later they are not launched, and every
      * further value that this leader proposes lacks them too.
      *
-     * @param decided the attempts that were decided about: a wide array has many more
+     * @param assessed the attempts that were decided about: a wide array has many more
      * @return how many of them were not released before
      */
-    public int release(JobEntry entry, Pipeline next, Collection<Attempt> decided) {
-        int heldBefore = entry.heldAttempts();
-        entry.release(next, decided);
-        int newlyReleased = heldBefore - entry.heldAttempts();
+    public int release(JobEntry entry, Pipeline nextValue, Collection<Attempt> assessed) {
+        int activeBefore = entry.activeAttempts();
+        entry.release(nextValue, assessed);
+        int newlyReleased = activeBefore - entry.activeAttempts();
         usage.add(entry.committed().spec(), -newlyReleased);
         return newlyReleased;
     }
@@ -126,15 +127,15 @@
     }
 
     /** Records that a write of this value is in flight. */
-    public void propose(JobEntry entry, Pipeline next) {
-        entry.propose(next);
+    public void propose(JobEntry entry, Pipeline nextValue) {
+        entry.propose(nextValue);
     }
 
     /** Records that the proposed value is stored with this version. */
     public void commitProposed(JobEntry entry, long version) {
-        Pipeline next = entry.proposed();
+        Pipeline nextValue = entry.proposed();
         entry.propose(null);
-        commit(next.jobId(), next, version);
+        commit(nextValue.jobId(), nextValue, version);
         observeDeferred(entry);
     }
 
@@ -145,7 +146,7 @@
     }
 
     private void observeDeferred(JobEntry entry) {
-        WatchEvent deferred = entry.takeDeferred();
+        WatchEvent deferred = entry.pollDeferred();
         if (deferred != null) {
             observe(deferred, entry.committed().jobId());
         }
@@ -157,7 +158,7 @@
         removedAtVersion.merge(jobId, version, Math::max);
         if (entry != null) {
             attempts.remove(entry.committed());
-            usage.add(entry.committed().spec(), -entry.heldAttempts());
+            usage.add(entry.committed().spec(), -entry.activeAttempts());
         }
     }
 
@@ -172,13 +173,13 @@
             JobEntry added = new JobEntry(value, version);
             entries.put(jobId, added);
             attempts.add(value);
-            usage.add(value.spec(), added.heldAttempts());
+            usage.add(value.spec(), added.activeAttempts());
             return;
         }
         Pipeline before = entry.committed();
-        usage.add(before.spec(), -entry.heldAttempts());
+        usage.add(before.spec(), -entry.activeAttempts());
         entry.commit(value, version);
-        usage.add(value.spec(), entry.heldAttempts());
+        usage.add(value.spec(), entry.activeAttempts());
         attempts.replace(before, value);
     }
 }
--- a/src/main/java/org/spoolline/job/JobWatcher.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -25,10 +25,10 @@
     private final Runnable onLoaded;
     private final Runnable onChanged;
     private final Counters counters;
-    private long term;
+    private long termToken;
     private boolean loaded;
     /** Since when reading has failed, or when it last succeeded. */
-    private long unreadSince;
+    private long lastReadAt;
 
     private long failureLoggedAt;
 
@@ -57,9 +57,9 @@
 
     /** Begins the term of this token and reads the live jobs, which the election has fenced; with 0 the present term ends. */
     public void beginTerm(long token) {
-        term = token;
+        termToken = token;
         loaded = false;
-        unreadSince = loop.now();
+        lastReadAt = loop.now();
         failureLoggedAt = loop.now();
         if (token != 0) {
             load(token);
@@ -71,15 +71,15 @@
         return loaded;
     }
 
-    private void load(long readTerm) {
+    private void load(long token) {
         long sentAt = loop.now();
         store.list(JobKeys.LIVE_PREFIX, listing -> {
-            if (term != readTerm) {
+            if (termToken != token) {
                 return;
             }
             if (!listing.answered()) {
-                readFailed(Event.JOBS_LISTING_FAILED);
-                later(Constants.Time.RETRY_MS, readTerm, () -> load(readTerm));
+                recordReadFailure(Event.JOBS_LISTING_FAILED);
+                scheduleInTerm(Constants.Time.RETRY_MS, token, () -> load(token));
                 return;
             }
             for (VersionedValue item : listing.values()) {
@@ -87,77 +87,77 @@
             }
             staleness.completeAsOf(sentAt);
             counters.count(Event.JOBS_LISTED);
-            readSucceeded(listing.revision(), sentAt);
+            recordReadSuccess(listing.revision(), sentAt);
             if (!loaded) {
                 loaded = true;
                 LOG.info(
                         "Loaded live jobs: jobs={} token={} revision={} duration_ms={}",
                         listing.values().size(),
-                        readTerm,
+                        token,
                         listing.revision(),
                         loop.now() - sentAt);
                 onLoaded.run();
             }
-            watch(readTerm, listing.revision());
+            watch(token, listing.revision());
             onChanged.run();
         });
     }
 
-    private void watch(long watchTerm, long afterRevision) {
+    private void watch(long token, long afterRevision) {
         long sentAt = loop.now();
         store.watch(JobKeys.LIVE_PREFIX, afterRevision, Constants.Store.JOB_WATCH_MS, watched -> {
-            if (term != watchTerm) {
+            if (termToken != token) {
                 return;
             }
             if (watched.compacted()) {
                 counters.count(Event.JOBS_WATCH_COMPACTED);
-                load(watchTerm);
+                load(token);
                 return;
             }
             for (WatchEvent event : watched.events()) {
                 jobs.observe(event, JobKeys.jobIdOfLive(event.key()));
             }
             if (!watched.answered()) {
-                readFailed(Event.JOBS_WATCH_FAILED);
+                recordReadFailure(Event.JOBS_WATCH_FAILED);
             } else {
-                readSucceeded(watched.revision(), sentAt);
+                recordReadSuccess(watched.revision(), sentAt);
                 jobs.forgetRemovalsUpTo(watched.revision());
                 staleness.completeAsOf(sentAt);
             }
             if (!watched.events().isEmpty()) {
                 onChanged.run();
             }
-            later(
+            scheduleInTerm(
                     watched.answered() ? Constants.Store.WATCH_PAUSE_MS : Constants.Time.RETRY_MS,
-                    watchTerm,
-                    () -> watch(watchTerm, watched.revision()));
+                    token,
+                    () -> watch(token, watched.revision()));
         });
     }
 
     /** Logs the end of a time without a read at info, since the age of what a leader knows explains what it does. */
-    private void readSucceeded(long revision, long askedAt) {
-        long unreadMs = loop.now() - unreadSince;
+    private void recordReadSuccess(long revision, long sentAt) {
+        long unreadMs = loop.now() - lastReadAt;
         if (unreadMs >= Constants.Logging.READ_GAP_LOG_MS) {
-            LOG.info("Live jobs read again: token={} revision={} unread_ms={}", term, revision, unreadMs);
+            LOG.info("Live jobs read again: token={} revision={} unread_ms={}", termToken, revision, unreadMs);
         } else {
-            LOG.debug("Live jobs read: token={} revision={} answer_ms={}", term, revision, loop.now() - askedAt);
+            LOG.debug("Live jobs read: token={} revision={} answer_ms={}", termToken, revision, loop.now() - sentAt);
         }
-        unreadSince = loop.now();
+        lastReadAt = loop.now();
     }
 
     /** Logs that a leader which can't read the jobs places nothing, though not at each failure. */
-    private void readFailed(Event event) {
+    private void recordReadFailure(Event event) {
         counters.count(event);
         if (loop.now() - failureLoggedAt >= Constants.Logging.READ_FAILURE_LOG_MS) {
             failureLoggedAt = loop.now();
-            LOG.warn("Live jobs not read: duration_ms={} reason={}", loop.now() - unreadSince, event.label());
+            LOG.warn("Live jobs not read: duration_ms={} reason={}", loop.now() - lastReadAt, event.label());
         }
     }
 
     /** Runs the task after a delay, unless the term has ended by then. */
-    private void later(long delayMs, long taskTerm, Runnable task) {
+    private void scheduleInTerm(long delayMs, long token, Runnable task) {
         loop.after(delayMs, () -> {
-            if (term == taskTerm) {
+            if (termToken == token) {
                 task.run();
             }
         });
--- a/src/main/java/org/spoolline/job/TeamUsageIndex.java
+++ b/src/main/java/org/spoolline/job/TeamUsageIndex.java
@@ -9,7 +9,7 @@
  * jobs. Amounts are summed as whole millionths: sums of fractions would drift.
  */
 final class TeamUsageIndex {
-    private static final double UNITS_PER_CORE = 1e6;
+    private static final double MILLIONTHS_PER_UNIT = 1e6;
 
     /** Millionths of cores and of accelerators. */
     private static final class Amounts {
@@ -26,24 +26,24 @@
 
     /** Adds so many attempts of the job; a negative number takes them away. */
     void add(Submission job, int attempts) {
-        Amounts amounts = byTeam.computeIfAbsent(job.team(), unseen -> new Amounts());
-        amounts.cores += attempts * toUnits(job.cores());
-        amounts.accelerators += attempts * toUnits(job.accelerators());
+        Amounts amounts = byTeam.computeIfAbsent(job.team(), team -> new Amounts());
+        amounts.cores += attempts * toMillionths(job.cores());
+        amounts.accelerators += attempts * toMillionths(job.accelerators());
     }
 
     /** Cores that the team's attempts take. */
     double cores(String team) {
         Amounts amounts = byTeam.get(team);
-        return amounts == null ? 0 : amounts.cores / UNITS_PER_CORE;
+        return amounts == null ? 0 : amounts.cores / MILLIONTHS_PER_UNIT;
     }
 
     /** Accelerators that the team's attempts take. */
     double accelerators(String team) {
         Amounts amounts = byTeam.get(team);
-        return amounts == null ? 0 : amounts.accelerators / UNITS_PER_CORE;
+        return amounts == null ? 0 : amounts.accelerators / MILLIONTHS_PER_UNIT;
     }
 
-    private static long toUnits(double amount) {
-        return Math.round(amount * UNITS_PER_CORE);
+    private static long toMillionths(double amount) {
+        return Math.round(amount * MILLIONTHS_PER_UNIT);
     }
 }
--- a/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
@@ -22,7 +22,7 @@
  * Steps single jobs by what is proven about their attempts, and decides which attempts are to be stopped: those of broken
  * gangs, those on machines that are about to be interrupted or returned, and those that are preempted.
  *
- * <p>All methods are called on the event loop, between {@link #begin} and {@link #end}.
+ * <p>All methods are called on the event loop, between {@link #beginTerm} and {@link #endTerm}.
  */
 public final class AttemptReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptReconciler.class);
@@ -38,7 +38,7 @@
 
     private TerminationProof terminationProof;
     /** When this leader first saw a cancelled job with unlisted attempts. */
-    private final Map<String, Long> unlistedSince = new HashMap<>();
+    private final Map<String, Long> unlistedObservedAt = new HashMap<>();
 
     /**
      * Creates a reconciler for one node, which may lead any number of terms.
@@ -62,25 +62,25 @@
     }
 
     /** Begins a term, with the rules by which termination is proven in it. */
-    public void begin(TerminationProof proof) {
-        end();
+    public void beginTerm(TerminationProof proof) {
+        endTerm();
         terminationProof = proof;
     }
 
     /** Ends the term: forgets which attempts were to be stopped. */
-    public void end() {
+    public void endTerm() {
         stops.clear();
-        unlistedSince.clear();
+        unlistedObservedAt.clear();
     }
 
     /** Forgets a job that has reached a terminal state. */
     public void forget(String jobId) {
-        stops.withdraw(jobId);
-        unlistedSince.remove(jobId);
+        stops.removeJob(jobId);
+        unlistedObservedAt.remove(jobId);
     }
 
     /** True when some attempt of the job is to be stopped. */
-    public boolean stopping(String jobId) {
+    public boolean hasStopRequests(String jobId) {
         return stops.containsJob(jobId);
     }
 
@@ -90,7 +90,7 @@
     }
 
     /** Requests that an attempt is stopped with this grace in seconds. */
-    public void stop(AttemptId attemptId, double graceS) {
+    public void requestStop(AttemptId attemptId, double graceS) {
         stops.request(attemptId, graceS);
     }
 
@@ -98,55 +98,58 @@
      * Steps a job by what is proven about some of its attempts. Exception boundary: a job that can't be reconciled must
      * not stop the cycles for all others, so it is logged and left as it is.
      *
-     * @param earlier what earlier cycles have decided about the job and its team
+     * @param earlierDecisions what earlier cycles have decided about the job and its team
      * @return the job's next value; empty when nothing changes
      */
-    public Optional<Pipeline> tryReconcile(Pipeline committed, Collection<Attempt> due, EarlierDecisions earlier) {
+    public Optional<Pipeline> tryReconcile(
+            Pipeline committed, Collection<Attempt> attempts, EarlierDecisions earlierDecisions) {
         try {
-            return reconcile(committed, due, earlier);
+            return reconcile(committed, attempts, earlierDecisions);
         } catch (RuntimeException e) {
             LOG.error("Reconciliation failed: job={}", committed.jobId(), e);
             return Optional.empty();
         }
     }
 
-    private Optional<Pipeline> reconcile(Pipeline committed, Collection<Attempt> due, EarlierDecisions earlier) {
-        stops.withdraw(committed.jobId());
+    private Optional<Pipeline> reconcile(
+            Pipeline committed, Collection<Attempt> attempts, EarlierDecisions earlierDecisions) {
+        stops.removeJob(committed.jobId());
         reservations.requestStops(committed.jobId(), stops);
         DraftPipeline draft = new DraftPipeline(committed);
-        reconcileAttempts(draft, due, earlier);
+        reconcileAttempts(draft, attempts, earlierDecisions);
         Pipeline current = draft.current();
         if (current.spec().gang() && !current.succeeded() && !current.attempts().isEmpty()) {
             gangs.reconcile(draft, terminationProof);
         }
-        if (draft.result().isEmpty() && unlistedAttemptsTerminated(committed)) {
-            draft.forChange().clearUnlistedAttempts();
+        if (draft.changedValue().isEmpty() && unlistedAttemptsTerminated(committed)) {
+            draft.mutableCopy().clearUnlistedAttempts();
         }
-        return draft.result();
+        return draft.changedValue();
     }
 
-    private void reconcileAttempts(DraftPipeline draft, Collection<Attempt> due, EarlierDecisions earlier) {
+    private void reconcileAttempts(
+            DraftPipeline draft, Collection<Attempt> attempts, EarlierDecisions earlierDecisions) {
         LostAttemptsLog lost = new LostAttemptsLog(draft.committed().jobId(), loop.now());
-        for (Attempt attempt : due) {
+        for (Attempt attempt : attempts) {
             if (draft.committed().hasAttempt(attempt)) {
-                reconcileAttempt(draft, attempt, earlier, lost);
+                reconcileAttempt(draft, attempt, earlierDecisions, lost);
             }
         }
-        lost.write();
+        lost.logSummaries();
     }
 
     private void reconcileAttempt(
-            DraftPipeline draft, Attempt attempt, EarlierDecisions earlier, LostAttemptsLog lost) {
+            DraftPipeline draft, Attempt attempt, EarlierDecisions earlierDecisions, LostAttemptsLog lost) {
         Pipeline committed = draft.committed();
         String jobId = committed.jobId();
         Machine machine = machines.get(attempt.machine());
         TerminationProof.Assessment assessment = terminationProof.assess(jobId, attempt, machine, loop.now());
-        if (earlier.isReleased(attempt) && assessment.state() != TerminationProof.AttemptState.EXITED) {
-            draft.forChange().loseAttempt(attempt);
+        if (earlierDecisions.isReleased(attempt) && assessment.state() != TerminationProof.AttemptState.EXITED) {
+            draft.mutableCopy().loseAttempt(attempt);
             return;
         }
-        boolean toStop = committed.cancelled()
-                || stopForEviction(committed, attempt, machine)
+        boolean stopRequested = committed.cancelled()
+                || requestStopForEviction(committed, attempt, machine)
                 || stops.contains(AttemptId.of(jobId, attempt));
         switch (assessment.state()) {
             case ALIVE -> {
@@ -154,14 +157,14 @@
                     orders.ordersChanged(attempt.machine());
                 }
             }
-            case EXITED -> exits.apply(draft.forChange(), attempt, machine, assessment.status());
+            case EXITED -> exits.apply(draft.mutableCopy(), attempt, machine, assessment.status());
             case TERMINATED -> {
-                draft.forChange().loseAttempt(attempt);
+                draft.mutableCopy().loseAttempt(attempt);
                 lost.add(attempt, assessment.proof(), machine);
             }
             case ABSENT -> {
-                if (toStop || earlier.teamExceedsQuota()) {
-                    draft.forChange().loseAttempt(attempt);
+                if (stopRequested || earlierDecisions.teamExceedsQuota()) {
+                    draft.mutableCopy().loseAttempt(attempt);
                 }
             }
             case UNKNOWN -> {}
@@ -179,15 +182,15 @@
         if (job.unlistedAttempts() == 0) {
             return true;
         }
-        long since = unlistedSince.computeIfAbsent(job.jobId(), unseen -> loop.now());
-        return loop.now() - since > settings.workers().cancelMs() * (1 + Constants.Time.DRIFT);
+        long observedAt = unlistedObservedAt.computeIfAbsent(job.jobId(), key -> loop.now());
+        return loop.now() - observedAt > settings.workers().cancelMs() * (1 + Constants.Time.DRIFT);
     }
 
     /**
      * Requests the stop of a task on a machine that the cloud is about to interrupt, or that is being evacuated. Only one
      * that can save a checkpoint, or has not started, gains by it.
      */
-    private boolean stopForEviction(Pipeline job, Attempt attempt, Machine machine) {
+    private boolean requestStopForEviction(Pipeline job, Attempt attempt, Machine machine) {
         if (machine == null || !machine.hasInterruptionNotice() && !machine.evacuating()) {
             return false;
         }
@@ -198,7 +201,7 @@
             return false;
         }
         orders.ordersChanged(attempt.machine());
-        stop(attemptId, job.spec().stopGraceS());
+        requestStop(attemptId, job.spec().stopGraceS());
         return true;
     }
 }
--- a/src/main/java/org/spoolline/reconcile/DraftPipeline.java
+++ b/src/main/java/org/spoolline/reconcile/DraftPipeline.java
@@ -23,7 +23,7 @@
     }
 
     /** The value to be changed. */
-    Pipeline forChange() {
+    Pipeline mutableCopy() {
         if (draft == null) {
             draft = committed.copy();
         }
@@ -31,7 +31,7 @@
     }
 
     /** The changed value; empty when nothing was changed. */
-    Optional<Pipeline> result() {
+    Optional<Pipeline> changedValue() {
         return Optional.ofNullable(draft);
     }
 }
--- a/src/main/java/org/spoolline/reconcile/GangReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/GangReconciler.java
@@ -27,8 +27,8 @@
     /** Stops all members of a broken or stopping gang; it starts again once each one is proven to have terminated. */
     void reconcile(DraftPipeline draft, TerminationProof proof) {
         Pipeline gang = draft.current();
-        boolean broken = broken(gang);
-        if (!broken && !stopping(gang)) {
+        boolean broken = isBroken(gang);
+        if (!broken && !isStopping(gang)) {
             return;
         }
         double graceS = broken ? 0 : gang.spec().stopGraceS();
@@ -38,17 +38,17 @@
             TerminationProof.Assessment assessment =
                     proof.assess(gang.jobId(), attempt, machines.get(attempt.machine()), loop.now());
             if (assessment.state() == TerminationProof.AttemptState.ABSENT) {
-                draft.forChange().loseAttempt(attempt);
+                draft.mutableCopy().loseAttempt(attempt);
             }
         }
     }
 
     /** Before the start, the other members may wait for a replacement under the same attempt number. */
-    private boolean broken(Pipeline gang) {
-        return gang.attempts().size() < gang.spec().tasks() && started(gang);
+    private boolean isBroken(Pipeline gang) {
+        return gang.attempts().size() < gang.spec().tasks() && hasStarted(gang);
     }
 
-    private boolean started(Pipeline gang) {
+    private boolean hasStarted(Pipeline gang) {
         for (Attempt attempt : gang.attempts()) {
             switch (phases.lastReported(gang.jobId(), attempt)) {
                 case FETCHING_IMAGE, WAITING_FOR_GANG -> {}
@@ -60,7 +60,7 @@
         return false;
     }
 
-    private boolean stopping(Pipeline gang) {
+    private boolean isStopping(Pipeline gang) {
         for (Attempt attempt : gang.attempts()) {
             if (stops.contains(AttemptId.of(gang.jobId(), attempt))) {
                 return true;
--- a/src/main/java/org/spoolline/reconcile/LostAttemptsLog.java
+++ b/src/main/java/org/spoolline/reconcile/LostAttemptsLog.java
@@ -13,10 +13,10 @@
  */
 final class LostAttemptsLog {
     private static final Logger LOG = LoggerFactory.getLogger(LostAttemptsLog.class);
-    private static final long UNKNOWN_AGE = -1;
+    private static final long UNKNOWN = -1;
 
     /** The attempts of one proof, with the least age of what it rests on; -1 for what never was. */
-    private static final class Lost {
+    private static final class Summary {
         int attempts;
         long heartbeatAgeMs = Long.MAX_VALUE;
         long responseAgeMs = Long.MAX_VALUE;
@@ -25,7 +25,7 @@
     private final String jobId;
     private final long now;
     /** Empty for most jobs in most cycles, and then without a table of its own. */
-    private Map<TerminationProof.Proof, Lost> byProof = Map.of();
+    private Map<TerminationProof.Proof, Summary> byProof = Map.of();
 
     LostAttemptsLog(String jobId, long now) {
         this.jobId = jobId;
@@ -34,15 +34,15 @@
 
     /** Adds an attempt on a machine, which is null when this leader has not heard of it. */
     void add(Attempt attempt, TerminationProof.Proof proof, Machine machine) {
-        long heartbeatAgeMs = machine == null ? UNKNOWN_AGE : age(machine.lastHeartbeatAt());
-        long responseAgeMs = machine == null ? UNKNOWN_AGE : age(machine.lastResponseAt());
+        long heartbeatAgeMs = machine == null ? UNKNOWN : ageMs(machine.lastHeartbeatAt());
+        long responseAgeMs = machine == null ? UNKNOWN : ageMs(machine.lastResponseAt());
         if (byProof.isEmpty()) {
             byProof = new EnumMap<>(TerminationProof.Proof.class);
         }
-        Lost lost = byProof.computeIfAbsent(proof, unseen -> new Lost());
-        lost.attempts++;
-        lost.heartbeatAgeMs = Math.min(lost.heartbeatAgeMs, heartbeatAgeMs);
-        lost.responseAgeMs = Math.min(lost.responseAgeMs, responseAgeMs);
+        Summary summary = byProof.computeIfAbsent(proof, key -> new Summary());
+        summary.attempts++;
+        summary.heartbeatAgeMs = Math.min(summary.heartbeatAgeMs, heartbeatAgeMs);
+        summary.responseAgeMs = Math.min(summary.responseAgeMs, responseAgeMs);
         LOG.debug(
                 "Lost attempt with its machine: job={} task={} attempt={} machine={} incarnation={}"
                         + " machine_incarnation={} proof={} heartbeat_age_ms={} response_age_ms={}",
@@ -51,24 +51,24 @@
                 attempt.number(),
                 attempt.machine(),
                 attempt.incarnation(),
-                machine == null ? UNKNOWN_AGE : machine.incarnation(),
+                machine == null ? UNKNOWN : machine.incarnation(),
                 proof.label(),
                 heartbeatAgeMs,
                 responseAgeMs);
     }
 
     /** Writes the lines at info. */
-    void write() {
-        byProof.forEach((proof, lost) -> LOG.info(
+    void logSummaries() {
+        byProof.forEach((proof, summary) -> LOG.info(
                 "Lost attempts with their machines: job={} attempts={} proof={} heartbeat_age_ms={} response_age_ms={}",
                 jobId,
-                lost.attempts,
+                summary.attempts,
                 proof.label(),
-                lost.heartbeatAgeMs,
-                lost.responseAgeMs));
+                summary.heartbeatAgeMs,
+                summary.responseAgeMs));
     }
 
-    private long age(long at) {
-        return at < 0 ? UNKNOWN_AGE : now - at;
+    private long ageMs(long recordedAt) {
+        return recordedAt < 0 ? UNKNOWN : now - recordedAt;
     }
 }
--- a/src/main/java/org/spoolline/reconcile/MachineReservations.java
+++ b/src/main/java/org/spoolline/reconcile/MachineReservations.java
@@ -6,5 +6,5 @@
     void requestStops(String jobId, StopRequests stops);
 
     /** Reserves a machine for a job, in addition to those reserved already, for at least this time from now. */
-    void keep(String jobId, String machine, long durationMs);
+    void reserve(String jobId, String machine, long durationMs);
 }
--- a/src/main/java/org/spoolline/reconcile/StopRequests.java
+++ b/src/main/java/org/spoolline/reconcile/StopRequests.java
@@ -14,15 +14,13 @@
 
     /** Requests that an attempt is stopped with this grace in seconds; replaces an earlier request. */
     public void request(AttemptId attemptId, double graceS) {
-        graceByJob
-                .computeIfAbsent(attemptId.jobId(), unknown -> new HashMap<>())
-                .put(attemptId, OptionalDouble.of(graceS));
+        graceByJob.computeIfAbsent(attemptId.jobId(), key -> new HashMap<>()).put(attemptId, OptionalDouble.of(graceS));
     }
 
     /** The grace in seconds with which an attempt is to be stopped; empty for one that is to continue. */
     OptionalDouble graceOf(AttemptId attemptId) {
-        Map<AttemptId, OptionalDouble> ofJob = graceByJob.get(attemptId.jobId());
-        return ofJob == null ? NOT_STOPPED : ofJob.getOrDefault(attemptId, NOT_STOPPED);
+        Map<AttemptId, OptionalDouble> graceByAttempt = graceByJob.get(attemptId.jobId());
+        return graceByAttempt == null ? NOT_STOPPED : graceByAttempt.getOrDefault(attemptId, NOT_STOPPED);
     }
 
     /** True when the attempt is to be stopped. */
@@ -36,7 +34,7 @@
     }
 
     /** Withdraws all requests for the job's attempts. */
-    void withdraw(String jobId) {
+    void removeJob(String jobId) {
         graceByJob.remove(jobId);
     }
 
--- a/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
+++ b/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
@@ -29,18 +29,18 @@
     /** Applies the exit of an attempt on a machine to the job, whose value is changed. */
     void apply(Pipeline job, Attempt attempt, Machine machine, TaskStatus status) {
         switch (status.exitReason()) {
-            case COMPLETED -> completed(job, attempt, machine);
-            case FAILED -> failed(job, attempt, machine);
-            case INSUFFICIENT_CAPACITY, ALREADY_RUNNING, UNKNOWN -> launchRejected(job, attempt, status, machine);
-            case STOPPED, GANG_MEMBER_LOST -> ended(job, attempt, status, machine);
+            case COMPLETED -> applyCompletion(job, attempt, machine);
+            case FAILED -> applyFailure(job, attempt, machine);
+            case INSUFFICIENT_CAPACITY, ALREADY_RUNNING, UNKNOWN -> applyLaunchRejection(job, attempt, status, machine);
+            case STOPPED, GANG_MEMBER_LOST -> applyEnd(job, attempt, status, machine);
             case GANG_WAIT_TIMEOUT -> {
-                keepMachine(job.spec(), machine);
-                ended(job, attempt, status, machine);
+                reserveMachine(job.spec(), machine);
+                applyEnd(job, attempt, status, machine);
             }
         }
     }
 
-    private void completed(Pipeline job, Attempt attempt, Machine machine) {
+    private void applyCompletion(Pipeline job, Attempt attempt, Machine machine) {
         machine.recordTaskCompletion();
         if (job.spec().shape() == Submission.Shape.SERVICE) {
             // A service never completes: its task is started again until the user cancels.
@@ -64,7 +64,7 @@
     }
 
     /** A job that fails everywhere says little about a machine; several jobs that fail on one machine do. */
-    private void failed(Pipeline job, Attempt attempt, Machine machine) {
+    private void applyFailure(Pipeline job, Attempt attempt, Machine machine) {
         job.loseAttempt(attempt);
         LOG.info(
                 "Task failed: job={} task={} attempt={} machine={}",
@@ -80,7 +80,7 @@
         }
     }
 
-    private void launchRejected(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
+    private void applyLaunchRejection(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
         job.loseAttempt(attempt);
         LOG.info(
                 "Launch rejected: job={} task={} attempt={} machine={} reason={}",
@@ -92,7 +92,7 @@
         backOff(job);
     }
 
-    private static void ended(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
+    private static void applyEnd(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
         job.loseAttempt(attempt);
         LOG.debug(
                 "Attempt ended: job={} task={} attempt={} machine={} reason={} checkpointed={}",
@@ -112,9 +112,9 @@
      * Keeps the machine of a gang member that gave up waiting for members which still fetch a large image. It has the
      * image; with other work placed there meanwhile, the gang would fetch elsewhere and time out again, by turns.
      */
-    private void keepMachine(Submission spec, Machine machine) {
+    private void reserveMachine(Submission spec, Machine machine) {
         MachineType type = catalog.types().get(machine.type());
         long fetchMs = type == null ? 0 : (long) (spec.imageGb() / type.fetchGbPerS() * 1000);
-        reservations.keep(spec.jobId(), machine.name(), Math.max(Constants.Placement.RESERVATION_MS, fetchMs));
+        reservations.reserve(spec.jobId(), machine.name(), Math.max(Constants.Placement.RESERVATION_MS, fetchMs));
     }
 }
--- a/src/main/java/org/spoolline/reconcile/TerminationProof.java
+++ b/src/main/java/org/spoolline/reconcile/TerminationProof.java
@@ -106,31 +106,32 @@
         if (machine.terminated()) {
             return MACHINE_TERMINATED;
         }
-        Assessment reported = fromLastHeartbeat(jobId, attempt, machine);
-        boolean ended = reported.state() == AttemptState.EXITED || reported.state() == AttemptState.TERMINATED;
-        return !ended && leaseExpired(lastRenewal(attempt, machine), now) ? LEASE_EXPIRED : reported;
+        Assessment fromHeartbeat = assessLastHeartbeat(jobId, attempt, machine);
+        boolean ended =
+                fromHeartbeat.state() == AttemptState.EXITED || fromHeartbeat.state() == AttemptState.TERMINATED;
+        return !ended && leaseExpired(lastRenewal(attempt, machine), now) ? LEASE_EXPIRED : fromHeartbeat;
     }
 
     /**
      * Proofs 1 to 3. A machine that restarts at once counts its incarnations and heartbeats from the start: a copy of a
      * heartbeat from before looks newer than the present ones, but can't show a token first shown since.
      */
-    private Assessment fromLastHeartbeat(String jobId, Attempt attempt, Machine machine) {
-        boolean showsPresentToken = machine.hasAcknowledged(token);
+    private Assessment assessLastHeartbeat(String jobId, Attempt attempt, Machine machine) {
+        boolean showsCurrentToken = machine.hasAcknowledged(token);
         if (machine.incarnation() != attempt.incarnation()) {
             // A later incarnation, or an earlier one after a restart: one that shows the token lived after the
             // attempt's.
-            return showsPresentToken ? OTHER_INCARNATION : UNKNOWN;
+            return showsCurrentToken ? OTHER_INCARNATION : UNKNOWN;
         }
         AttemptId attemptId = AttemptId.of(jobId, attempt);
         TaskStatus status = machine.tasks().get(attemptId);
         if (status == null) {
-            return showsPresentToken && !machine.launchPending(attemptId) ? ABSENT : UNKNOWN;
+            return showsCurrentToken && !machine.launchPending(attemptId) ? ABSENT : UNKNOWN;
         }
         if (status.phase() != TaskStatus.Phase.EXITED) {
             return new Assessment(AttemptState.ALIVE, Proof.NONE, status);
         }
-        return showsPresentToken ? new Assessment(AttemptState.EXITED, Proof.REPORTED_EXIT, status) : UNKNOWN;
+        return showsCurrentToken ? new Assessment(AttemptState.EXITED, Proof.REPORTED_EXIT, status) : UNKNOWN;
     }
 
     /**
@@ -141,8 +142,8 @@
      */
     private long lastRenewal(Attempt attempt, Machine machine) {
         long renewedAt = Math.max(machine.lastResponseAt(), formerLeadersMayRenewUntil);
-        boolean present = machine.incarnation() == attempt.incarnation();
-        return present ? Math.max(renewedAt, machine.incarnationSince()) : renewedAt;
+        boolean isCurrentIncarnation = machine.incarnation() == attempt.incarnation();
+        return isCurrentIncarnation ? Math.max(renewedAt, machine.incarnationSince()) : renewedAt;
     }
 
     /** Proof 5: the lease has expired, since neither this leader nor a former one can have renewed it for too long. */
--- a/src/main/java/org/spoolline/scheduler/JobStepper.java
+++ b/src/main/java/org/spoolline/scheduler/JobStepper.java
@@ -114,6 +114,6 @@
     private boolean needsFullReconcile(JobEntry entry) {
         return entry.committed().spec().gang()
                 || entry.cancelled()
-                || reconciler.stopping(entry.committed().jobId());
+                || reconciler.hasStopRequests(entry.committed().jobId());
     }
 }
--- a/src/main/java/org/spoolline/scheduler/MachineEvictions.java
+++ b/src/main/java/org/spoolline/scheduler/MachineEvictions.java
@@ -48,7 +48,7 @@
         for (Preemption preemption : preemptions) {
             reservations.reserve(preemption);
             preemption.machines().forEach(notifier::ordersChanged);
-            preemption.evicted().forEach(reconciler::stop);
+            preemption.evicted().forEach(reconciler::requestStop);
             LOG.info(
                     "Preempting: job={} machines={} evicted={}",
                     preemption.jobId(),
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void keep(String jobId, String machine, long durationMs) {
+    public void reserve(String jobId, String machine, long durationMs) {
         long until = loop.now() + durationMs;
         Reservation kept =
                 byJob.getOrDefault(jobId, new Reservation(new Preemption(jobId, Set.of(), Map.of(), false), until));
--- a/src/main/java/org/spoolline/scheduler/TermState.java
+++ b/src/main/java/org/spoolline/scheduler/TermState.java
@@ -56,7 +56,7 @@
 
     /** Begins a term: forgets everything of an earlier one. */
     void begin(long token, TerminationProof proof) {
-        reconciler.begin(proof);
+        reconciler.beginTerm(proof);
         dependencies.begin(token);
         gangLaunches.clear();
         notifier.clear();
@@ -67,7 +67,7 @@
     /** Ends the term: reads in flight are ignored, and no attempt is to be stopped any longer. */
     void end() {
         dependencies.begin(Scheduler.NO_TERM);
-        reconciler.end();
+        reconciler.endTerm();
     }
 
     /** Forgets a job that has reached a terminal state. */
--- a/src/main/java/org/spoolline/worker/EarlyHeartbeatRequests.java
+++ b/src/main/java/org/spoolline/worker/EarlyHeartbeatRequests.java
@@ -46,8 +46,8 @@
     }
 
     /** Requests a heartbeat of each machine, now or once earlier requests are answered. */
-    void request(Collection<String> names) {
-        pending.addAll(names);
+    void request(Collection<String> machineNames) {
+        pending.addAll(machineNames);
         sendPending();
     }
 
--- a/src/main/java/org/spoolline/worker/HeartbeatCodec.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatCodec.java
@@ -17,7 +17,7 @@
  * instance holds the fields of one heartbeat, as far as they are read.
  */
 final class HeartbeatCodec {
-    private final JsonParser in;
+    private final JsonParser parser;
     private String machine = "";
     private String address = "";
     private String type = "";
@@ -29,29 +29,29 @@
     private OptionalDouble interruptionNoticeS = OptionalDouble.empty();
     private final List<TaskStatus> tasks = new ArrayList<>();
 
-    private HeartbeatCodec(JsonParser in) {
-        this.in = in;
+    private HeartbeatCodec(JsonParser parser) {
+        this.parser = parser;
     }
 
     /** The heartbeat, or empty when the bytes are none. Unknown fields are skipped. */
     static Optional<Heartbeat> decode(byte[] body) {
-        try (JsonParser in = Json.parser(body)) {
-            return in.nextToken() == JsonToken.START_OBJECT ? new HeartbeatCodec(in).read() : Optional.empty();
+        try (JsonParser parser = Json.parser(body)) {
+            return parser.nextToken() == JsonToken.START_OBJECT ? new HeartbeatCodec(parser).read() : Optional.empty();
         } catch (IOException | NumberFormatException e) {
             return Optional.empty();
         }
     }
 
     private Optional<Heartbeat> read() throws IOException {
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String field = in.currentName();
-            JsonToken value = in.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String field = parser.currentName();
+            JsonToken value = parser.nextToken();
             if (!readField(field, value)) {
                 return Optional.empty();
             }
         }
         boolean complete =
-                !machine.isEmpty() && incarnation >= 0 && number >= 0 && in.currentToken() == JsonToken.END_OBJECT;
+                !machine.isEmpty() && incarnation >= 0 && number >= 0 && parser.currentToken() == JsonToken.END_OBJECT;
         return complete
                 ? Optional.of(new Heartbeat(
                         machine, address, type, zone, spot, incarnation, number, token, interruptionNoticeS, tasks))
@@ -61,27 +61,28 @@
     /** Reads the value at which the parser stands; false when it makes the whole no heartbeat. */
     private boolean readField(String field, JsonToken value) throws IOException {
         switch (field) {
-            case "spooler" -> machine = in.getValueAsString("");
-            case "addr" -> address = in.getValueAsString("");
-            case "build" -> type = in.getValueAsString("");
-            case "yard" -> zone = in.getValueAsString("");
-            case "standby" -> spot = in.getValueAsBoolean();
-            case "shift" -> incarnation = in.getValueAsLong(-1);
-            case "tick" -> number = in.getValueAsLong(-1);
-            case "baton" -> token = in.getValueAsLong();
-            case "recallS" -> interruptionNoticeS =
-                    value == JsonToken.VALUE_NULL ? OptionalDouble.empty() : OptionalDouble.of(in.getValueAsDouble());
+            case "spooler" -> machine = parser.getValueAsString("");
+            case "addr" -> address = parser.getValueAsString("");
+            case "build" -> type = parser.getValueAsString("");
+            case "yard" -> zone = parser.getValueAsString("");
+            case "standby" -> spot = parser.getValueAsBoolean();
+            case "shift" -> incarnation = parser.getValueAsLong(-1);
+            case "tick" -> number = parser.getValueAsLong(-1);
+            case "baton" -> token = parser.getValueAsLong();
+            case "recallS" -> interruptionNoticeS = value == JsonToken.VALUE_NULL
+                    ? OptionalDouble.empty()
+                    : OptionalDouble.of(parser.getValueAsDouble());
             case "slips" -> {
                 return readTasks();
             }
-            default -> in.skipChildren();
+            default -> parser.skipChildren();
         }
         return true;
     }
 
     /** Reads task objects up to anything else; false when one of them is no task. */
     private boolean readTasks() throws IOException {
-        while (in.nextToken() == JsonToken.START_OBJECT) {
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
             if (!readTask()) {
                 return false;
             }
@@ -90,37 +91,37 @@
     }
 
     private boolean readTask() throws IOException {
-        String id = "";
+        String taskId = "";
         long attempt = 0;
         String status = "";
         String cause = "";
         boolean checkpointed = false;
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String field = in.currentName();
-            in.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String field = parser.currentName();
+            parser.nextToken();
             switch (field) {
-                case "slip" -> id = in.getValueAsString("");
-                case "try" -> attempt = in.getValueAsLong();
-                case "status" -> status = in.getValueAsString("");
-                case "cause" -> cause = in.getValueAsString("");
-                case "kept" -> checkpointed = in.getValueAsBoolean();
-                default -> in.skipChildren();
+                case "slip" -> taskId = parser.getValueAsString("");
+                case "try" -> attempt = parser.getValueAsLong();
+                case "status" -> status = parser.getValueAsString("");
+                case "cause" -> cause = parser.getValueAsString("");
+                case "kept" -> checkpointed = parser.getValueAsBoolean();
+                default -> parser.skipChildren();
             }
         }
-        int slash = id.lastIndexOf('/');
+        int separator = taskId.lastIndexOf('/');
         Optional<TaskStatus.Phase> phase = phase(status);
-        if (slash < 0 || phase.isEmpty()) {
+        if (separator < 0 || phase.isEmpty()) {
             return false;
         }
-        String jobId = id.substring(0, slash);
-        int task = Integer.parseInt(id.substring(slash + 1));
+        String jobId = taskId.substring(0, separator);
+        int task = Integer.parseInt(taskId.substring(separator + 1));
         TaskStatus.ExitReason reason = phase.get() == TaskStatus.Phase.EXITED ? exitReason(cause) : null;
         tasks.add(new TaskStatus(jobId, task, attempt, phase.get(), reason, checkpointed));
         return true;
     }
 
-    private static Optional<TaskStatus.Phase> phase(String wire) {
-        return switch (wire) {
+    private static Optional<TaskStatus.Phase> phase(String wireValue) {
+        return switch (wireValue) {
             case "pulling" -> Optional.of(TaskStatus.Phase.FETCHING_IMAGE);
             case "gathering" -> Optional.of(TaskStatus.Phase.WAITING_FOR_GANG);
             case "running" -> Optional.of(TaskStatus.Phase.RUNNING);
@@ -131,8 +132,8 @@
     }
 
     /** A reason that is unknown here counts as a failure of the task. */
-    private static TaskStatus.ExitReason exitReason(String wire) {
-        return switch (wire) {
+    private static TaskStatus.ExitReason exitReason(String wireValue) {
+        return switch (wireValue) {
             case "done" -> TaskStatus.ExitReason.COMPLETED;
             case "halted" -> TaskStatus.ExitReason.STOPPED;
             case "mates_gone" -> TaskStatus.ExitReason.GANG_MEMBER_LOST;
--- a/src/main/java/org/spoolline/worker/HeartbeatResponder.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -54,7 +54,7 @@
     /** Answers with the orders that the machine needs now. */
     void respondWithOrders(PendingResponse pending) {
         if (mayRenewOrReject(pending)) {
-            renew(pending, orders(pending));
+            renew(pending, ordersFor(pending));
         }
     }
 
@@ -81,14 +81,14 @@
         Machine machine = pending.machine();
         long token = election.workerFencingToken() + machine.earlyHeartbeatRequests();
         for (int i = 0; i < orders.size(); i++) {
-            record(machine, orders.get(i));
+            recordOrder(machine, orders.get(i));
         }
         machine.recordResponse(token, loop.now());
         counters.count(Event.HEARTBEAT_RENEWED);
         pending.send(HeartbeatResponseCodec.renewal(token, orders));
     }
 
-    private List<Order> orders(PendingResponse pending) {
+    private List<Order> ordersFor(PendingResponse pending) {
         if (!ordersEnabled || !pending.answersLastHeartbeat()) {
             return List.of();
         }
@@ -99,11 +99,11 @@
         return staleness.mayStopCancelled() ? planner.stopsOfCancelledJobs(pending.machine()) : List.of();
     }
 
-    private void record(Machine machine, Order order) {
+    private void recordOrder(Machine machine, Order order) {
         AttemptId attemptId = order.attemptId();
         if (order instanceof Order.Launch) {
             machine.recordLaunch(attemptId);
-            launchLog.ordered(attemptId, machine.name());
+            launchLog.recordLaunch(attemptId, machine.name());
         } else if (order instanceof Order.Stop stop) {
             counters.count(Event.STOP_ORDERED);
             LOG.debug(
--- a/src/main/java/org/spoolline/worker/HeartbeatResponseCodec.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponseCodec.java
@@ -46,13 +46,13 @@
         return Json.bytes(body);
     }
 
-    private static void encode(Order order, ObjectNode to) {
+    private static void encode(Order order, ObjectNode target) {
         AttemptId attemptId = order.attemptId();
-        to.put("verb", verb(order))
+        target.put("verb", verb(order))
                 .put("slip", attemptId.jobId() + "/" + attemptId.task())
                 .put("try", attemptId.attempt());
         if (order instanceof Order.Stop stop) {
-            to.put("windDownS", stop.graceS());
+            target.put("windDownS", stop.graceS());
         }
     }
 
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -123,12 +123,12 @@
 
     /** Releases the held responses to machines that have attempts to launch. */
     public void releaseHeldLaunches() {
-        heldResponses.releaseThoseWithLaunches();
+        heldResponses.releaseWithLaunches();
     }
 
     /** Makes the machines send a heartbeat at once, so that they receive their orders. */
-    public void requestEarlyHeartbeats(Collection<String> names) {
-        earlyHeartbeats.request(names);
+    public void requestEarlyHeartbeats(Collection<String> machineNames) {
+        earlyHeartbeats.request(machineNames);
     }
 
     private void handleAsLeader(Heartbeat heartbeat, Consumer<Http.Response> answer) {
@@ -142,20 +142,20 @@
             reject(HeartbeatRejection.LEADER_PROBE, answer);
             return;
         }
-        boolean first = !machine.hasReported();
+        boolean isFirst = !machine.hasReported();
         Machine.HeartbeatChange change = machine.accept(heartbeat, leaseMs, loop.now());
         if (change == Machine.HeartbeatChange.STALE) {
             reject(HeartbeatRejection.STALE_HEARTBEAT, answer);
             return;
         }
         lastHeartbeatAt = loop.now();
-        if (first) {
+        if (isFirst) {
             recordFirstHeartbeat(machine);
         }
         // The response to this heartbeat carries the orders that a pending early-heartbeat request is about.
         earlyHeartbeats.cancel(machine.name());
-        heldResponses.replace(machine.name());
-        respond(machine, first, answer);
+        heldResponses.answerSuperseded(machine.name());
+        respond(machine, isFirst, answer);
         if (change == Machine.HeartbeatChange.CHANGED) {
             onChange.accept(machine);
         }
@@ -181,9 +181,9 @@
                 machine.incarnation());
     }
 
-    private void respond(Machine machine, boolean first, Consumer<Http.Response> answer) {
+    private void respond(Machine machine, boolean isFirst, Consumer<Http.Response> answer) {
         PendingResponse pending = new PendingResponse(machine, loop.now(), answer);
-        if (shouldHold(machine, first)) {
+        if (shouldHold(machine, isFirst)) {
             heldResponses.hold(pending);
         } else {
             responder.respondWithOrders(pending);
@@ -194,17 +194,17 @@
      * Before the jobs are read, nobody here can tell whose lease may be renewed. Where capacity becomes free, the launch
      * of the next task is only a commit away, but the next heartbeat seconds.
      */
-    private boolean shouldHold(Machine machine, boolean first) {
+    private boolean shouldHold(Machine machine, boolean isFirst) {
         if (!staleness.hasCompleteView()) {
             return true;
         }
-        boolean hasFreeCapacity = isFirstWithoutTasks(machine, first) || planner.listsExitOfStoredAttempt(machine);
+        boolean hasFreeCapacity = isFirstWithoutTasks(machine, isFirst) || planner.listsExitOfStoredAttempt(machine);
         return hasFreeCapacity && election.hasValidLease();
     }
 
     /** A machine whose first heartbeat under a new leader lists tasks gains nothing by a hold, and its lease runs out. */
-    private static boolean isFirstWithoutTasks(Machine machine, boolean first) {
-        return first && machine.tasks().isEmpty();
+    private static boolean isFirstWithoutTasks(Machine machine, boolean isFirst) {
+        return isFirst && machine.tasks().isEmpty();
     }
 
     private void redirectToLeader(Consumer<Http.Response> answer) {
--- a/src/main/java/org/spoolline/worker/HeldResponses.java
+++ b/src/main/java/org/spoolline/worker/HeldResponses.java
@@ -37,10 +37,10 @@
     }
 
     /** Answers the machine's held response, if any, without orders: a later heartbeat has come. */
-    void replace(String machine) {
-        PendingResponse earlier = byMachine.remove(machine);
-        if (earlier != null) {
-            responder.respondWithoutOrders(earlier);
+    void answerSuperseded(String machine) {
+        PendingResponse superseded = byMachine.remove(machine);
+        if (superseded != null) {
+            responder.respondWithoutOrders(superseded);
         }
     }
 
@@ -52,9 +52,9 @@
     }
 
     /** Releases the responses to machines that have attempts to launch. */
-    void releaseThoseWithLaunches() {
+    void releaseWithLaunches() {
         for (PendingResponse pending : List.copyOf(byMachine.values())) {
-            if (planner.hasUnlistedAttempt(pending.machine())) {
+            if (planner.hasUnreportedAttempt(pending.machine())) {
                 release(pending);
             }
         }
--- a/src/main/java/org/spoolline/worker/LaunchLog.java
+++ b/src/main/java/org/spoolline/worker/LaunchLog.java
@@ -25,7 +25,7 @@
     }
 
     /** A response to the machine's heartbeat orders the launch of a stored attempt. */
-    void ordered(AttemptId attemptId, String machine) {
+    void recordLaunch(AttemptId attemptId, String machine) {
         counters.count(Event.LAUNCH_ORDERED);
         JobEntry job = jobs.get(attemptId.jobId());
         Attempt attempt = jobs.attemptsOn(machine).get(attemptId);
--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -59,10 +59,10 @@
     }
 
     /** True when an attempt is to run in the machine's incarnation that its last heartbeat does not list. */
-    boolean hasUnlistedAttempt(Machine machine) {
+    boolean hasUnreportedAttempt(Machine machine) {
         for (Map.Entry<AttemptId, Attempt> entry :
                 jobs.attemptsOn(machine.name()).entrySet()) {
-            if (isUnlisted(machine, entry.getKey(), entry.getValue()) && isHeld(entry.getKey(), entry.getValue())) {
+            if (isUnreported(machine, entry.getKey(), entry.getValue()) && isActive(entry.getKey(), entry.getValue())) {
                 return true;
             }
         }
@@ -88,12 +88,12 @@
             boolean isStored = attempt != null && attempt.incarnation() == machine.incarnation();
             if (phase == TaskStatus.Phase.EXITED) {
                 if (!isStored) {
-                    countIfRejected(listed.getValue());
+                    countIfLaunchRejected(listed.getValue());
                     orders.add(new Order.Clear(attemptId));
                 }
                 continue;
             }
-            if (isStored && !isHeld(attemptId, attempt)) {
+            if (isStored && !isActive(attemptId, attempt)) {
                 counters.count(Event.HEARTBEAT_LISTED_RELEASED_ATTEMPT);
             }
             OptionalDouble graceS = isStored ? stopGraceS(attemptId, attempt) : OptionalDouble.of(0);
@@ -111,7 +111,7 @@
         for (Map.Entry<AttemptId, Attempt> entry : stored.entrySet()) {
             AttemptId attemptId = entry.getKey();
             if (orders.size() < Constants.Heartbeat.MAX_ORDERS
-                    && isUnlisted(machine, attemptId, entry.getValue())
+                    && isUnreported(machine, attemptId, entry.getValue())
                     && stopGraceS(attemptId, entry.getValue()).isEmpty()
                     && mayLaunch(attemptId)
                     && isWithinTeamLimit(attemptId)
@@ -121,17 +121,17 @@
         }
     }
 
-    private static boolean isUnlisted(Machine machine, AttemptId attemptId, Attempt attempt) {
+    private static boolean isUnreported(Machine machine, AttemptId attemptId, Attempt attempt) {
         return attempt.incarnation() == machine.incarnation()
                 && !machine.tasks().containsKey(attemptId);
     }
 
     private boolean mayLaunch(AttemptId attemptId) {
-        boolean may = desiredState.mayLaunch(attemptId);
-        if (!may) {
+        boolean allowed = desiredState.mayLaunch(attemptId);
+        if (!allowed) {
             counters.count(Event.LAUNCH_WITHHELD_GANG_FETCHING);
         }
-        return may;
+        return allowed;
     }
 
     /**
@@ -148,22 +148,22 @@
     }
 
     /** A launch was rejected of an attempt that is no longer stored: nothing is left to be done but to clear it. */
-    private void countIfRejected(TaskStatus status) {
+    private void countIfLaunchRejected(TaskStatus status) {
         switch (status.exitReason()) {
             case INSUFFICIENT_CAPACITY, ALREADY_RUNNING, UNKNOWN -> counters.count(Event.REJECTED_LAUNCH_NOT_STORED);
             default -> {}
         }
     }
 
-    private boolean isHeld(AttemptId attemptId, Attempt attempt) {
+    private boolean isActive(AttemptId attemptId, Attempt attempt) {
         JobEntry job = jobs.get(attemptId.jobId());
-        return job != null && job.holdsAttempt(attempt);
+        return job != null && job.isActive(attempt);
     }
 
     /** The grace in seconds with which a stored attempt is to be stopped; empty when it is to run on. */
     private OptionalDouble stopGraceS(AttemptId attemptId, Attempt attempt) {
         JobEntry job = jobs.get(attemptId.jobId());
-        if (job == null || job.cancelled() || !job.holdsAttempt(attempt)) {
+        if (job == null || job.cancelled() || !job.isActive(attempt)) {
             return OptionalDouble.of(0);
         }
         return desiredState.graceOf(attemptId);
--- a/src/test/java/org/spoolline/job/JobTableTest.java
+++ b/src/test/java/org/spoolline/job/JobTableTest.java
@@ -39,92 +39,92 @@
     }
 
     private Pipeline withoutFirst() {
-        Pipeline next = entry().committed().copy();
-        next.loseAttempt(first);
-        return next;
+        Pipeline nextValue = entry().committed().copy();
+        nextValue.loseAttempt(first);
+        return nextValue;
     }
 
-    private void assertAttemptsCounted(int attempts) {
+    private void assertUsageOfAttempts(int attempts) {
         assertEquals(attempts * CORES, jobs.coresUsed(TEAM));
     }
 
     @Test
-    void storedAttemptsCountAndReleasedOnesDoNot() {
-        assertAttemptsCounted(2);
+    void countsStoredButNotReleasedAttempts() {
+        assertUsageOfAttempts(2);
         assertEquals(
                 1, jobs.release(entry(), withoutFirst(), entry().committed().attempts()));
-        assertAttemptsCounted(1);
+        assertUsageOfAttempts(1);
         assertEquals(
                 0, jobs.release(entry(), withoutFirst(), entry().committed().attempts()));
-        assertAttemptsCounted(1);
+        assertUsageOfAttempts(1);
     }
 
     @Test
-    void aReleaseOutlastsARefusedWrite() {
-        Pipeline next = withoutFirst();
-        jobs.release(entry(), next, entry().committed().attempts());
-        jobs.propose(entry(), next);
+    void keepsReleaseAfterAbandonedWrite() {
+        Pipeline nextValue = withoutFirst();
+        jobs.release(entry(), nextValue, entry().committed().attempts());
+        jobs.propose(entry(), nextValue);
         jobs.abandonProposed(entry());
         assertTrue(entry().isReleased(first));
-        assertFalse(entry().holdsAttempt(first));
-        assertTrue(entry().holdsAttempt(second));
-        assertAttemptsCounted(1);
+        assertFalse(entry().isActive(first));
+        assertTrue(entry().isActive(second));
+        assertUsageOfAttempts(1);
     }
 
     /** A user cancels the job meanwhile: the newer value still lists the attempt. */
     @Test
-    void aReleaseOutlastsANewerValueThatListsTheAttempt() {
+    void keepsReleaseAfterNewerValueWithAttempt() {
         jobs.release(entry(), withoutFirst(), entry().committed().attempts());
         Pipeline cancelled = entry().committed().copy();
         cancelled.cancel();
         observe(cancelled, 6);
-        assertFalse(entry().holdsAttempt(first));
-        assertAttemptsCounted(1);
+        assertFalse(entry().isActive(first));
+        assertUsageOfAttempts(1);
     }
 
     @Test
-    void aReleaseEndsOnceItIsStored() {
-        Pipeline next = withoutFirst();
-        jobs.release(entry(), next, entry().committed().attempts());
-        jobs.propose(entry(), next);
+    void endsReleaseOnceStored() {
+        Pipeline nextValue = withoutFirst();
+        jobs.release(entry(), nextValue, entry().committed().attempts());
+        jobs.propose(entry(), nextValue);
         jobs.commitProposed(entry(), 6);
         assertFalse(entry().isReleased(first));
-        assertAttemptsCounted(1);
-        Pipeline placedAnew = entry().committed().copy();
-        placedAnew.addAttempt(new Attempt(0, placedAnew.nextAttemptNumber(), "m-3", 1));
-        jobs.propose(entry(), placedAnew);
+        assertUsageOfAttempts(1);
+        Pipeline withNewAttempt = entry().committed().copy();
+        withNewAttempt.addAttempt(new Attempt(0, withNewAttempt.nextAttemptNumber(), "m-3", 1));
+        jobs.propose(entry(), withNewAttempt);
         jobs.commitProposed(entry(), 7);
-        assertAttemptsCounted(2);
+        assertUsageOfAttempts(2);
     }
 
     /** Attempts that a cancelled job's value only counts are used until their end is decided. */
     @Test
-    void unlistedAttemptsCount() {
+    void countsUnlistedAttempts() {
         Pipeline cancelled = entry().committed().copy();
         cancelled.cancelWithUnlistedAttempts();
         observe(cancelled, 6);
-        assertAttemptsCounted(2);
-        Pipeline next = entry().committed().copy();
-        next.clearUnlistedAttempts();
-        assertEquals(2, jobs.release(entry(), next, entry().committed().attempts()));
-        assertAttemptsCounted(0);
+        assertUsageOfAttempts(2);
+        Pipeline nextValue = entry().committed().copy();
+        nextValue.clearUnlistedAttempts();
+        assertEquals(2, jobs.release(entry(), nextValue, entry().committed().attempts()));
+        assertUsageOfAttempts(0);
     }
 
     @Test
-    void aRemovedJobCountsNothing() {
+    void removesUsageOfRemovedJob() {
         jobs.release(entry(), withoutFirst(), entry().committed().attempts());
         jobs.remove(JOB, 6);
-        assertAttemptsCounted(0);
+        assertUsageOfAttempts(0);
     }
 
     @Test
-    void aNewTermForgetsReleases() {
+    void clearDiscardsReleases() {
         jobs.release(entry(), withoutFirst(), entry().committed().attempts());
         Pipeline stored = entry().committed();
         jobs.clear();
-        assertAttemptsCounted(0);
+        assertUsageOfAttempts(0);
         observe(stored, 5);
-        assertTrue(entry().holdsAttempt(first));
-        assertAttemptsCounted(2);
+        assertTrue(entry().isActive(first));
+        assertUsageOfAttempts(2);
     }
 }
--- a/src/test/java/org/spoolline/reconcile/TerminationProofTest.java
+++ b/src/test/java/org/spoolline/reconcile/TerminationProofTest.java
@@ -12,12 +12,12 @@
 
 /** What heartbeats prove, above all when they are copies from before a machine's restart. */
 class TerminationProofTest {
-    private static final long FORMER = 2;
-    private static final long PRESENT = 3;
+    private static final long FORMER_TOKEN = 2;
+    private static final long CURRENT_TOKEN = 3;
     private static final long LEASE_MS = 16_000;
     private static final Attempt ATTEMPT = new Attempt(4, 1, "m", 1);
 
-    private final TerminationProof terminationProof = new TerminationProof(PRESENT, 0, 18_000);
+    private final TerminationProof terminationProof = new TerminationProof(CURRENT_TOKEN, 0, 18_000);
     private final Machine machine = new Machine("m", "small", "a", false, 0);
 
     private Machine.HeartbeatChange accept(long incarnation, long number, long token, TaskStatus... tasks) {
@@ -29,7 +29,7 @@
                 "m", "m:9", "small", "a", false, incarnation, number, token, OptionalDouble.empty(), List.of(tasks));
     }
 
-    private TerminationProof.AttemptState verdict() {
+    private TerminationProof.AttemptState assessedState() {
         return terminationProof.assess("run-000011", ATTEMPT, machine, 2_000).state();
     }
 
@@ -39,21 +39,21 @@
 
     /** Such a copy once ended a task that was launched anew on the machine: it ran twice. */
     @Test
-    void aLaterIncarnationFromBeforeThePresentLeaderProvesNothing() {
-        machine.recordResponse(PRESENT, 1_000);
-        accept(2, 28, FORMER);
-        assertEquals(TerminationProof.AttemptState.UNKNOWN, verdict());
-        accept(2, 29, PRESENT);
-        assertEquals(TerminationProof.AttemptState.TERMINATED, verdict());
+    void ignoresLaterIncarnationWithFormerToken() {
+        machine.recordResponse(CURRENT_TOKEN, 1_000);
+        accept(2, 28, FORMER_TOKEN);
+        assertEquals(TerminationProof.AttemptState.UNKNOWN, assessedState());
+        accept(2, 29, CURRENT_TOKEN);
+        assertEquals(TerminationProof.AttemptState.TERMINATED, assessedState());
     }
 
     @Test
-    void anExitFromBeforeThePresentLeaderProvesNothing() {
-        machine.recordResponse(PRESENT, 1_000);
-        accept(1, 28, FORMER, exited());
-        assertEquals(TerminationProof.AttemptState.UNKNOWN, verdict());
-        accept(1, 29, PRESENT, exited());
-        assertEquals(TerminationProof.AttemptState.EXITED, verdict());
+    void ignoresExitWithFormerToken() {
+        machine.recordResponse(CURRENT_TOKEN, 1_000);
+        accept(1, 28, FORMER_TOKEN, exited());
+        assertEquals(TerminationProof.AttemptState.UNKNOWN, assessedState());
+        accept(1, 29, CURRENT_TOKEN, exited());
+        assertEquals(TerminationProof.AttemptState.EXITED, assessedState());
     }
 
     /**
@@ -61,14 +61,14 @@
      * the lease of that incarnation and may launch the attempt: the expiry of the lease before says nothing about it.
      */
     @Test
-    void anExpiredLeaseSaysNothingAboutAnIncarnationFirstHeardOfLater() {
-        machine.recordResponse(PRESENT, 1_000);
-        machine.accept(heartbeat(2, 28, PRESENT), LEASE_MS, 20_000);
-        Attempt placedSince = new Attempt(4, 1, "m", 2);
+    void earlierLeaseExpiryDoesNotEndNewIncarnation() {
+        machine.recordResponse(CURRENT_TOKEN, 1_000);
+        machine.accept(heartbeat(2, 28, CURRENT_TOKEN), LEASE_MS, 20_000);
+        Attempt newAttempt = new Attempt(4, 1, "m", 2);
         assertEquals(
                 TerminationProof.AttemptState.ABSENT,
                 terminationProof
-                        .assess("run-000011", placedSince, machine, 20_500)
+                        .assess("run-000011", newAttempt, machine, 20_500)
                         .state());
         assertEquals(
                 TerminationProof.AttemptState.TERMINATED,
@@ -77,30 +77,34 @@
         assertEquals(
                 TerminationProof.AttemptState.TERMINATED,
                 terminationProof
-                        .assess("run-000011", placedSince, machine, 38_001)
+                        .assess("run-000011", newAttempt, machine, 38_001)
                         .state());
     }
 
     /** The attempt ran before a restart, in a later incarnation than the present one: it once stayed for ever. */
     @Test
-    void anEarlierIncarnationAfterARestartProvesTermination() {
-        machine.recordResponse(PRESENT, 1_000);
+    void earlierIncarnationAfterRestartProvesTermination() {
+        machine.recordResponse(CURRENT_TOKEN, 1_000);
         accept(1, 2, 0);
-        Attempt before = new Attempt(4, 1, "m", 2);
+        Attempt attemptBeforeRestart = new Attempt(4, 1, "m", 2);
         assertEquals(
                 TerminationProof.AttemptState.UNKNOWN,
-                terminationProof.assess("run-000011", before, machine, 2_000).state());
-        accept(1, 3, PRESENT);
+                terminationProof
+                        .assess("run-000011", attemptBeforeRestart, machine, 2_000)
+                        .state());
+        accept(1, 3, CURRENT_TOKEN);
         assertEquals(
                 TerminationProof.AttemptState.TERMINATED,
-                terminationProof.assess("run-000011", before, machine, 2_000).state());
+                terminationProof
+                        .assess("run-000011", attemptBeforeRestart, machine, 2_000)
+                        .state());
     }
 
     @Test
-    void aHeartbeatWithALowerTokenThanBeforeIsStale() {
-        accept(1, 3, PRESENT);
-        assertEquals(Machine.HeartbeatChange.STALE, accept(2, 28, FORMER, exited()));
+    void heartbeatWithLowerTokenIsStale() {
+        accept(1, 3, CURRENT_TOKEN);
+        assertEquals(Machine.HeartbeatChange.STALE, accept(2, 28, FORMER_TOKEN, exited()));
         assertEquals(1, machine.incarnation());
-        assertEquals(Machine.HeartbeatChange.UNCHANGED, accept(1, 4, PRESENT));
+        assertEquals(Machine.HeartbeatChange.UNCHANGED, accept(1, 4, CURRENT_TOKEN));
     }
 }
--- a/src/test/java/org/spoolline/worker/HeartbeatCodecTest.java
+++ b/src/test/java/org/spoolline/worker/HeartbeatCodecTest.java
@@ -15,7 +15,7 @@
 /** The wire form of heartbeats: what each field becomes, and which bytes are no heartbeat at all. */
 class HeartbeatCodecTest {
     private static final String MACHINE = "\"spooler\":\"m-1\",\"addr\":\"m-1:9\",\"build\":\"small\",\"yard\":\"a\"";
-    private static final String NUMBERS = "\"shift\":2,\"tick\":3,\"baton\":4";
+    private static final String INCARNATION_NUMBER_TOKEN = "\"shift\":2,\"tick\":3,\"baton\":4";
 
     /** The heartbeat, or null when it is none. */
     private static Heartbeat decode(String body) {
@@ -23,7 +23,7 @@
     }
 
     private static Heartbeat withTask(String task) {
-        return decode("{" + MACHINE + "," + NUMBERS + ",\"slips\":[" + task + "]}");
+        return decode("{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"slips\":[" + task + "]}");
     }
 
     private static TaskStatus onlyTask(String task) {
@@ -34,10 +34,11 @@
     }
 
     @Test
-    void everyFieldIsRead() {
-        Heartbeat heartbeat = decode("{" + MACHINE + ",\"standby\":true," + NUMBERS + ",\"recallS\":30.5,\"slips\":["
-                + "{\"slip\":\"run-1/7\",\"try\":8,\"status\":\"exited\",\"cause\":\"halted\",\"kept\":true},"
-                + "{\"slip\":\"run/2/0\",\"try\":1,\"status\":\"running\"}]}");
+    void decodesEveryField() {
+        Heartbeat heartbeat =
+                decode("{" + MACHINE + ",\"standby\":true," + INCARNATION_NUMBER_TOKEN + ",\"recallS\":30.5,\"slips\":["
+                        + "{\"slip\":\"run-1/7\",\"try\":8,\"status\":\"exited\",\"cause\":\"halted\",\"kept\":true},"
+                        + "{\"slip\":\"run/2/0\",\"try\":1,\"status\":\"running\"}]}");
         assertEquals("m-1", heartbeat.machine());
         assertEquals("m-1:9", heartbeat.address());
         assertEquals("small", heartbeat.type());
@@ -55,7 +56,7 @@
     }
 
     @Test
-    void onlyTheMachineAndItsTwoNumbersAreRequired() {
+    void requiresOnlyMachineIncarnationAndNumber() {
         Heartbeat heartbeat = decode("{\"spooler\":\"m-1\",\"shift\":0,\"tick\":0}");
         assertEquals("", heartbeat.address());
         assertEquals("", heartbeat.type());
@@ -67,8 +68,9 @@
     }
 
     @Test
-    void unknownFieldsAreSkippedWhateverTheyHold() {
-        Heartbeat heartbeat = decode("{\"odd\":{\"slips\":[{}]}," + MACHINE + ",\"odd2\":[1,[2]]," + NUMBERS + "}");
+    void skipsUnknownFields() {
+        Heartbeat heartbeat =
+                decode("{\"odd\":{\"slips\":[{}]}," + MACHINE + ",\"odd2\":[1,[2]]," + INCARNATION_NUMBER_TOKEN + "}");
         assertEquals("m-1", heartbeat.machine());
         assertEquals(3, heartbeat.number());
         TaskStatus task =
@@ -77,41 +79,46 @@
     }
 
     @Test
-    void aNoticeMayBeNull() {
+    void decodesNullInterruptionNotice() {
         assertEquals(
                 OptionalDouble.empty(),
-                decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":null}").interruptionNoticeS());
+                decode("{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"recallS\":null}")
+                        .interruptionNoticeS());
         assertEquals(
                 OptionalDouble.of(0),
-                decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":0}").interruptionNoticeS());
+                decode("{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"recallS\":0}")
+                        .interruptionNoticeS());
     }
 
     /** A later field of a name replaces an earlier one; lists of tasks add up. */
     @Test
-    void repeatedFields() {
+    void decodesRepeatedFields() {
         String task = "{\"slip\":\"run-1/0\",\"try\":1,\"status\":\"running\"}";
-        Heartbeat heartbeat = decode(
-                "{" + MACHINE + "," + NUMBERS + ",\"tick\":9,\"slips\":[" + task + "],\"slips\":[" + task + "]}");
+        Heartbeat heartbeat = decode("{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"tick\":9,\"slips\":[" + task
+                + "],\"slips\":[" + task + "]}");
         assertEquals(9, heartbeat.number());
         assertEquals(2, heartbeat.tasks().size());
     }
 
     @Test
-    void everyPhase() {
-        List<String> words = List.of("pulling", "gathering", "running", "flushing", "exited");
+    void decodesEveryPhase() {
+        List<String> wireValues = List.of("pulling", "gathering", "running", "flushing", "exited");
         for (TaskStatus.Phase phase : TaskStatus.Phase.values()) {
-            String word = words.get(phase.ordinal());
+            String wireValue = wireValues.get(phase.ordinal());
             assertEquals(
                     phase,
-                    onlyTask("{\"slip\":\"j/0\",\"status\":\"" + word + "\"}").phase());
+                    onlyTask("{\"slip\":\"j/0\",\"status\":\"" + wireValue + "\"}")
+                            .phase());
         }
     }
 
     @Test
-    void everyReasonAndAnUnknownOneIsAFailure() {
-        List<String> words = List.of("done", "halted", "mates_gone", "alone", "error", "no_room", "in_use", "unknown");
+    void decodesEveryExitReasonAndUnknownAsFailed() {
+        List<String> wireValues =
+                List.of("done", "halted", "mates_gone", "alone", "error", "no_room", "in_use", "unknown");
         for (TaskStatus.ExitReason reason : TaskStatus.ExitReason.values()) {
-            String task = "{\"slip\":\"j/0\",\"status\":\"exited\",\"cause\":\"" + words.get(reason.ordinal()) + "\"}";
+            String task =
+                    "{\"slip\":\"j/0\",\"status\":\"exited\",\"cause\":\"" + wireValues.get(reason.ordinal()) + "\"}";
             assertEquals(reason, onlyTask(task).exitReason());
         }
         for (String cause : List.of("\"odd\"", "null", "7", "\"\"")) {
@@ -124,13 +131,13 @@
     }
 
     @Test
-    void aReasonCountsOnlyOnceTheTaskHasExited() {
+    void ignoresExitReasonBeforeExit() {
         assertNull(onlyTask("{\"slip\":\"j/0\",\"status\":\"running\",\"cause\":\"done\"}")
                 .exitReason());
     }
 
     @Test
-    void bytesThatAreNoHeartbeat() {
+    void rejectsMalformedHeartbeats() {
         for (String body : List.of(
                 "",
                 "odd",
@@ -139,12 +146,12 @@
                 "7",
                 "{}",
                 "{",
-                "{" + MACHINE + "," + NUMBERS,
-                "{" + MACHINE + "," + NUMBERS + ",\"slips\":[",
-                "{" + MACHINE + "," + NUMBERS + ",\"slips\":[7]}",
-                "{" + NUMBERS + "}",
-                "{\"spooler\":\"\"," + NUMBERS + "}",
-                "{\"spooler\":null," + NUMBERS + "}",
+                "{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN,
+                "{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"slips\":[",
+                "{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"slips\":[7]}",
+                "{" + INCARNATION_NUMBER_TOKEN + "}",
+                "{\"spooler\":\"\"," + INCARNATION_NUMBER_TOKEN + "}",
+                "{\"spooler\":null," + INCARNATION_NUMBER_TOKEN + "}",
                 "{" + MACHINE + ",\"shift\":2}",
                 "{" + MACHINE + ",\"tick\":3}",
                 "{" + MACHINE + ",\"shift\":-1,\"tick\":3}",
@@ -156,7 +163,7 @@
     }
 
     @Test
-    void aTaskThatCannotBeReadMakesItNoHeartbeat() {
+    void rejectsHeartbeatWithMalformedTask() {
         for (String task : List.of(
                 "{}",
                 "{\"slip\":\"j/0\"}",
@@ -174,25 +181,28 @@
 
     /** An object where a plain value belongs ends the heartbeat early; it counts if all it needs came before. */
     @Test
-    void anObjectInPlaceOfAPlainValueEndsTheHeartbeat() {
-        assertNull(decode("{\"addr\":{}," + MACHINE + "," + NUMBERS + "}"));
+    void stopsDecodingAtNonScalarValue() {
+        assertNull(decode("{\"addr\":{}," + MACHINE + "," + INCARNATION_NUMBER_TOKEN + "}"));
         assertEquals(
                 "m-1",
-                decode("{" + MACHINE + "," + NUMBERS + ",\"recallS\":{}}").machine());
+                decode("{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"recallS\":{}}")
+                        .machine());
         assertNull(decode("{" + MACHINE + ",\"shift\":2,\"baton\":[],\"tick\":3}"));
     }
 
     @Test
-    void numbersAsTextAndListsOfTasksThatAreNone() {
+    void decodesNumbersAsTextAndEmptyTaskLists() {
         assertEquals(
                 3, decode("{" + MACHINE + ",\"shift\":\"2\",\"tick\":\"3\"}").number());
         assertEquals(
                 List.of(),
-                decode("{" + MACHINE + "," + NUMBERS + ",\"slips\":[]}").tasks());
+                decode("{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"slips\":[]}")
+                        .tasks());
         assertEquals(
                 List.of(),
-                decode("{" + MACHINE + "," + NUMBERS + ",\"slips\":{}}").tasks());
-        assertNull(decode("{" + MACHINE + "," + NUMBERS + ",\"slips\":7}"));
-        assertNull(decode("{" + MACHINE + ",\"slips\":null," + NUMBERS + "}"));
+                decode("{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"slips\":{}}")
+                        .tasks());
+        assertNull(decode("{" + MACHINE + "," + INCARNATION_NUMBER_TOKEN + ",\"slips\":7}"));
+        assertNull(decode("{" + MACHINE + ",\"slips\":null," + INCARNATION_NUMBER_TOKEN + "}"));
     }
 }
--- a/src/test/java/org/spoolline/worker/HeartbeatResponseCodecTest.java
+++ b/src/test/java/org/spoolline/worker/HeartbeatResponseCodecTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aRenewalCarriesItsOrdersInTheirOrder() {
+    void encodesRenewalWithOrdersInSequence() {
         assertResponse(200, "{\"baton\":4194305,\"orders\":[]}", HeartbeatResponseCodec.renewal(4194305, List.of()));
         assertResponse(
                 200,
@@ -44,18 +44,18 @@
     }
 
     @Test
-    void aRedirectNamesTheLeader() {
+    void encodesRedirectToLeader() {
         assertResponse(421, "{\"foreman\":\"node-1\"}", HeartbeatResponseCodec.redirect("node-1"));
     }
 
     @Test
-    void anEarlyHeartbeatRequestHasNoOrders() {
+    void encodesEarlyHeartbeatRequestWithoutOrders() {
         assertEquals(
                 "{\"baton\":4,\"shift\":2,\"orders\":[]}", text(HeartbeatResponseCodec.earlyHeartbeatRequest(4, 2)));
     }
 
     @Test
-    void everyRejection() {
+    void encodesEveryRejection() {
         Map<HeartbeatRejection, String> texts = new EnumMap<>(HeartbeatRejection.class);
         texts.put(HeartbeatRejection.MALFORMED, "not a check-in");
         texts.put(HeartbeatRejection.NO_KNOWN_LEADER, "no leader is known");
--- a/src/test/java/org/spoolline/worker/OrderPlannerTest.java
+++ b/src/test/java/org/spoolline/worker/OrderPlannerTest.java
@@ -38,10 +38,10 @@
     private final Counters counters = new Counters(new FakeEventLoop());
     private final Machine machine = new Machine("m", "small", "a", false, 0);
     private final OrderPlanner planner =
-            new OrderPlanner(jobs, new TeamQuotas(SETTINGS, jobs), new RunEverything(), counters);
+            new OrderPlanner(jobs, new TeamQuotas(SETTINGS, jobs), new LaunchAllStopNone(), counters);
 
     /** Nothing is to be stopped and everything may be launched. */
-    private static final class RunEverything implements DesiredState {
+    private static final class LaunchAllStopNone implements DesiredState {
         @Override
         public OptionalDouble graceOf(AttemptId attempt) {
             return OptionalDouble.empty();
@@ -75,26 +75,26 @@
 
     private void release() {
         JobEntry entry = jobs.get(JOB);
-        Pipeline next = entry.committed().copy();
-        next.loseAttempt(ATTEMPT);
-        jobs.release(entry, next, entry.committed().attempts());
+        Pipeline nextValue = entry.committed().copy();
+        nextValue.loseAttempt(ATTEMPT);
+        jobs.release(entry, nextValue, entry.committed().attempts());
     }
 
     @Test
-    void aStoredAttemptIsLaunched() {
+    void launchesStoredAttempt() {
         assertEquals(List.of(new Order.Launch(ATTEMPT_ID)), planner.ordersFor(machine));
     }
 
     /** The smallest form of the incident's second fault. */
     @Test
-    void anAttemptWhoseEndIsDecidedButNotStoredIsNotLaunched() {
+    void doesNotLaunchReleasedAttempt() {
         release();
         assertEquals(List.of(), planner.ordersFor(machine));
     }
 
     /** Such a heartbeat can only be a late one, or the proof was wrong: the task must not run on either way. */
     @Test
-    void aListedAttemptWhoseEndIsDecidedIsStopped() {
+    void stopsListedReleasedAttempt() {
         release();
         receiveHeartbeat(2, status(TaskStatus.Phase.RUNNING, null));
         assertEquals(List.of(new Order.Stop(ATTEMPT_ID, 0)), planner.ordersFor(machine));
@@ -103,14 +103,14 @@
 
     /** It is cleared only once the end is stored: cleared before, a repeated launch would start it again. */
     @Test
-    void anExitedAttemptIsKeptUntilItsEndIsStored() {
+    void doesNotClearExitedAttemptBeforeReleaseIsStored() {
         release();
         receiveHeartbeat(2, status(TaskStatus.Phase.EXITED, TaskStatus.ExitReason.STOPPED));
         assertEquals(List.of(), planner.ordersFor(machine));
     }
 
     @Test
-    void aRejectedLaunchOfAnAttemptThatIsNotStoredIsCleared() {
+    void clearsRejectedLaunchOfAttemptNotStored() {
         jobs.remove(JOB, 6);
         receiveHeartbeat(2, status(TaskStatus.Phase.EXITED, TaskStatus.ExitReason.INSUFFICIENT_CAPACITY));
         assertEquals(List.of(new Order.Clear(ATTEMPT_ID)), planner.ordersFor(machine));
@@ -119,7 +119,7 @@
 
     /** Another stored attempt of 20 cores exceeds the team's limit of 32: neither is launched, and a listed one runs on. */
     @Test
-    void nothingIsLaunchedWhileTheTeamsStoredAttemptsExceedItsLimit() {
+    void withholdsLaunchesWhileTeamExceedsLimit() {
         store("run-000002", new Attempt(0, 1, "m-2", 1));
         assertEquals(List.of(), planner.ordersFor(machine));
         assertEquals(1, counters.of(Event.LAUNCH_WITHHELD_TEAM_LIMIT));
