--- a/src/main/java/org/spoolline/job/AttemptIndex.java
+++ b/src/main/java/org/spoolline/job/AttemptIndex.java
@@ -7,18 +7,18 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * The committed attempts of all jobs by machine. It goes through a job's attempts by forEach: their iterator runs the
- * other way, and the order of launches in a heartbeat's response depends on the order of insertion here.
+ * The committed attempts of all jobs by machine. It adds a job's attempts with forEach, because their iterator runs
+ * in the opposite direction and the order of launches in a response to a heartbeat depends on the insertion order.
  */
 final class AttemptIndex {
     private final Map<String, Map<AttemptId, Attempt>> byMachine = new HashMap<>();
 
-    /** Attempts on a machine; not to be changed by the caller. */
+    /** The committed attempts on a machine, by id; empty if there are none. The caller must not modify the map. */
     Map<AttemptId, Attempt> attemptsOn(String machine) {
         return byMachine.getOrDefault(machine, Map.of());
     }
 
-    /** True when an attempt is on the machine. */
+    /** True when at least one committed attempt is on the machine. */
     boolean hasAttemptsOn(String machine) {
         return byMachine.containsKey(machine);
     }
@@ -28,7 +28,7 @@
         byMachine.clear();
     }
 
-    /** Adds the attempts of a job that was unknown. */
+    /** Adds the attempts of a job that is not in the index yet. */
     void add(Pipeline job) {
         job.attempts().forEach(attempt -> add(job.jobId(), attempt));
     }
@@ -38,7 +38,10 @@
         job.attempts().forEach(attempt -> remove(job.jobId(), attempt));
     }
 
-    /** Applies the difference between two values of a job: a wide array changes by a few attempts in a write. */
+    /**
+     * Applies the difference between two values of a job. A write to an array job with many tasks usually changes
+     * only a few attempts.
+     */
     void replace(Pipeline before, Pipeline after) {
         before.attempts().forEach(attempt -> {
             if (!after.hasAttempt(attempt)) {
--- a/src/main/java/org/spoolline/job/JobEntry.java
+++ b/src/main/java/org/spoolline/job/JobEntry.java
@@ -8,20 +8,20 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * One live job as its leader knows it. The committed value is stored; the proposed one may be, may yet be, or may never be.
- * Used on the event loop only.
+ * The leader's state of one live job. The committed value is known to be stored. The proposed value is being written:
+ * it may be stored already, be stored later, or be rejected. Used on the event loop only.
  */
 public final class JobEntry {
     private Pipeline committed;
     private long version;
     private Pipeline proposed;
-    /** The newest event that was observed while a write was in flight, or null. */
+    /** The newest watch event that was received while a write was in flight, or null. */
     private WatchEvent deferred;
 
     private boolean cancellationObserved;
-    /** Committed attempts that this leader has decided to have ended. */
+    /** Listed attempts of the committed value that this leader has released, that is, decided to have ended. */
     private final Set<Attempt> released = new HashSet<>();
-    /** Unlisted attempts of the committed value that it has decided to have ended. */
+    /** The number of unlisted attempts of the committed value that this leader has released. */
     private int releasedUnlisted;
 
     JobEntry(Pipeline committed, long version) {
@@ -29,7 +29,7 @@
         this.version = version;
     }
 
-    /** The stored value, which is never changed in place. */
+    /** The stored value, which is never modified in place. */
     public Pipeline committed() {
         return committed;
     }
@@ -39,7 +39,7 @@
         return version;
     }
 
-    /** True while a write of the job has no known outcome. */
+    /** True while the outcome of a write of the job is unknown. */
     public boolean inFlight() {
         return proposed != null;
     }
@@ -50,8 +50,8 @@
     }
 
     /**
-     * True when the attempt is stored, no write in flight removes it, and its end is not decided. Only such an attempt may be
-     * launched or run on.
+     * True when the attempt is stored, no write in flight removes it, and it is not released. Only an active attempt
+     * may be launched or continue to run.
      */
     public boolean isActive(Attempt attempt) {
         return committed.hasAttempt(attempt)
@@ -59,23 +59,32 @@
                 && !isReleased(attempt);
     }
 
-    /** True for a committed attempt whose end is decided, though perhaps not stored. */
+    /**
+     * True for a committed attempt that this leader has decided to have ended, while the stored value may still list
+     * it.
+     */
     public boolean isReleased(Attempt attempt) {
         return !released.isEmpty() && released.contains(attempt);
     }
 
-    /** True once a cancellation is known. Nothing undoes one, so it counts whatever is being written. */
+    /**
+     * True once a cancellation is known from any source. A cancellation is never undone, so it takes effect even
+     * while another value is being written.
+     */
     public boolean cancelled() {
         return cancellationObserved || committed.cancelled() || proposed != null && proposed.cancelled();
     }
 
-    /** Number of committed attempts, listed or not, whose end is not decided. */
+    /** The number of committed attempts, listed and unlisted, that are not released. */
     int activeAttempts() {
         int activeListed = committed.attempts().size() - released.size();
         return activeListed + committed.unlistedAttempts() - releasedUnlisted;
     }
 
-    /** Notes that those of the committed attempts given which {@code nextValue} lacks have ended. */
+    /**
+     * Releases those of the assessed attempts that are committed but missing in {@code nextValue}, and the unlisted
+     * attempts by which its number is lower.
+     */
     void release(Pipeline nextValue, Collection<Attempt> assessed) {
         for (Attempt attempt : assessed) {
             if (committed.hasAttempt(attempt) && !nextValue.hasAttempt(attempt)) {
@@ -85,7 +94,7 @@
         releasedUnlisted = Math.max(0, committed.unlistedAttempts() - nextValue.unlistedAttempts());
     }
 
-    /** Notes that the value is stored; what it lacks is no longer released but gone. */
+    /** Records that the value is stored. Released attempts that it no longer contains need no further tracking. */
     void commit(Pipeline value, long newVersion) {
         committed = value;
         version = newVersion;
@@ -93,7 +102,7 @@
         releasedUnlisted = 0;
     }
 
-    /** Notes that a write of this value is in flight; null for none. */
+    /** Records that a write of this value is in flight; null if none is. */
     void propose(Pipeline nextValue) {
         proposed = nextValue;
     }
@@ -102,18 +111,22 @@
         cancellationObserved = true;
     }
 
-    /** Keeps an event that arrives during a write until the outcome of the write is known. */
+    /**
+     * Stores an event that arrives during a write until the outcome of the write is known. Only the newest event is
+     * kept.
+     */
     void defer(WatchEvent event) {
         if (deferred == null || deferred.version() < event.version()) {
             deferred = event;
         }
-        // A write without an answer may stay in flight for minutes; stopping the tasks must not wait for it.
+        // An unanswered write may stay in flight for minutes. The tasks of a cancelled job have to be stopped without
+        // waiting for it.
         if (!event.isDeletion() && Pipeline.isStoredAsCancelled(event.value())) {
             markCancelled();
         }
     }
 
-    /** The newest deferred event, or null; it is not kept any longer. */
+    /** Removes and returns the newest deferred event, or null if there is none. */
     WatchEvent pollDeferred() {
         WatchEvent event = deferred;
         deferred = null;
--- a/src/main/java/org/spoolline/job/JobKeys.java
+++ b/src/main/java/org/spoolline/job/JobKeys.java
@@ -1,6 +1,6 @@
 package org.spoolline.job;
 
-/** The keys of jobs in the key-value store. A job moves from its live key to its terminal key once, never back. */
+/** The keys of jobs in the key-value store. A job moves once from its live key to its terminal key and never back. */
 public final class JobKeys {
     /** Prefix of live pipelines. */
     public static final String LIVE_PREFIX = "job/";
@@ -19,7 +19,7 @@
         return TERMINAL_PREFIX + jobId;
     }
 
-    /** The job whose live pipeline is kept under the key. */
+    /** The id of the job whose live pipeline is stored under the key. */
     public static String jobIdOfLive(String key) {
         return key.substring(LIVE_PREFIX.length());
     }
--- a/src/main/java/org/spoolline/job/JobReader.java
+++ b/src/main/java/org/spoolline/job/JobReader.java
@@ -6,16 +6,16 @@
 import org.spoolline.kvstore.KeyValueStoreClient;
 
 /**
- * Reads jobs from the key-value store: the live value first, then the terminal record. A job moves between the two keys
- * in this direction only, so a job that is found under neither was never accepted. Terminal records never change and are
- * cached. To be used on the event loop only.
+ * Reads jobs from the key-value store: first the live value, then the terminal record. A job moves from the live key
+ * to the terminal key only, so a job that is found under neither key was never accepted. Terminal records are
+ * immutable and are cached. Used on the event loop only.
  */
 public final class JobReader {
     /** Why a job could not be read. */
     public enum Failure {
-        /** This node's share of the store's rate limit is used up for now. */
+        /** This node has currently used up its share of the store's rate limit. */
         RATE_LIMITED,
-        /** The store gave no answer, or none that can be used. */
+        /** The store did not answer, or its answer can't be used. */
         STORE_UNREACHABLE
     }
 
@@ -27,14 +27,17 @@
         this.store = store;
     }
 
-    /** The job's terminal record if it is cached, without a request; empty says nothing about the job. */
+    /**
+     * The job's terminal record if it is cached, without a request to the store. An empty result says nothing about
+     * the job's state.
+     */
     public Optional<TerminalRecord> cachedTerminalRecord(String jobId) {
         return Optional.ofNullable(terminalRecords.get(jobId));
     }
 
     /**
-     * Reads a job. Exactly one of the callbacks runs, once; {@code onFailure} runs before this method returns if the rate
-     * limit is used up.
+     * Reads a job. Exactly one of the callbacks is called, once. If the rate limit is used up, {@code onFailure} is
+     * called before this method returns.
      */
     public void read(String jobId, Consumer<StoredJob> onRead, Consumer<Failure> onFailure) {
         if (!store.tryAcquire(0)) {
@@ -53,7 +56,10 @@
         });
     }
 
-    /** Takes its budget as a debt: a read that stopped half way would have to begin again with the live value. */
+    /**
+     * Reads the terminal record. Its request exceeds the rate limit if necessary and is charged to later requests,
+     * because a rejected read would have to be repeated from the live value on.
+     */
     private void readTerminalRecord(String jobId, Consumer<StoredJob> onRead, Consumer<Failure> onFailure) {
         store.acquireWithDebt(0);
         store.get(JobKeys.terminal(jobId), read -> {
--- a/src/main/java/org/spoolline/job/JobTable.java
+++ b/src/main/java/org/spoolline/job/JobTable.java
@@ -13,8 +13,8 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * The leader's live jobs: the values that are confirmed to be stored, and those that are being written. Used on the event
- * loop only.
+ * The leader's table of live jobs, with the values that are known to be stored and those that are being written. Used
+ * on the event loop only.
  */
 public final class JobTable {
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
@@ -29,7 +29,7 @@
         return entries.values();
     }
 
-    /** The live job, or null when it is not known or no longer live. */
+    /** The entry of the live job, or null when the job is unknown or no longer live. */
     public JobEntry get(String jobId) {
         return entries.get(jobId);
     }
@@ -44,24 +44,24 @@
         return attempts.hasAttemptsOn(machine);
     }
 
-    /** Cores that the team's committed attempts take, without those that are released. */
+    /** Cores used by the team's committed attempts that are not released. */
     public double coresUsed(String team) {
         return usage.cores(team);
     }
 
-    /** Accelerators that the team's committed attempts take, without those that are released. */
+    /** Accelerators used by the team's committed attempts that are not released. */
     public double acceleratorsUsed(String team) {
         return usage.accelerators(team);
     }
 
     /**
-     * Records which committed attempts have ended, as this leader has decided: those that {@code nextValue} lacks. Their
-     * capacity
-     * is free from now on, so the decision is final for this term: whatever is learnt later they are not launched, and every
-     * further value that this leader proposes lacks them too.
+     * Releases the assessed attempts that are committed but missing in {@code nextValue}: this leader has decided
+     * that they have ended. Their capacity becomes available immediately, so the decision is final for this term.
+     * Later observations don't reverse it: released attempts are not launched, and no value that this leader proposes
+     * contains them.
      *
-     * @param assessed the attempts that were decided about: a wide array has many more
-     * @return how many of them were not released before
+     * @param assessed the attempts that the cycle has assessed; an array job can have many more
+     * @return the number of newly released attempts, including unlisted ones
      */
     public int release(JobEntry entry, Pipeline nextValue, Collection<Attempt> assessed) {
         int activeBefore = entry.activeAttempts();
@@ -71,7 +71,7 @@
         return newlyReleased;
     }
 
-    /** Forgets every job, as a new term does. */
+    /** Removes all jobs; called for a new term. */
     public void clear() {
         entries.clear();
         attempts.clear();
@@ -80,8 +80,9 @@
     }
 
     /**
-     * Takes a value that was listed, read or seen by the watch. One that is older than the known version changes nothing;
-     * one that arrives during a write is deferred until the outcome of the write is known.
+     * Applies a value that was received from a listing, a read or a watch. A value that is not newer than the known
+     * version is ignored. A value that arrives during a write of the job is deferred until the outcome of the write
+     * is known.
      */
     public void observe(WatchEvent event, String jobId) {
         JobEntry entry = entries.get(jobId);
@@ -95,12 +96,16 @@
         if (event.isDeletion()) {
             remove(jobId, event.version());
         } else if (entry != null || event.version() > removedAtVersion.getOrDefault(jobId, 0L)) {
-            // A change older than the job's removal must not restore it: its attempts would be launched again.
+            // A change that is older than the job's removal must not restore the job, because its attempts would be
+            // launched again.
             decodeAndCommit(event, jobId);
         }
     }
 
-    /** Exception boundary: one value that can't be decoded, perhaps of a later version, must not affect the others. */
+    /**
+     * Exception boundary: a value that can't be decoded, for example one written by a later software version, must
+     * not affect other jobs.
+     */
     private void decodeAndCommit(WatchEvent event, String jobId) {
         try {
             commit(jobId, decode(jobId, event.value()), event.version());
@@ -109,7 +114,10 @@
         }
     }
 
-    /** Rejects a value that names another job than its key: it would stand for a job that is not in this table. */
+    /**
+     * Decodes a stored value. Rejects a value whose job id differs from that of its key, since it would be treated as
+     * a job that this table does not contain.
+     */
     private static Pipeline decode(String jobId, JsonNode value) {
         Pipeline decoded = Pipeline.decode(value);
         if (!decoded.jobId().equals(jobId)) {
@@ -118,7 +126,10 @@
         return decoded;
     }
 
-    /** Records a cancellation that was confirmed to a user; the stored value may be read later, or never here. */
+    /**
+     * Records a cancellation that was confirmed to a user. This leader may observe the cancelled value later, or
+     * never.
+     */
     public void markCancelled(String jobId) {
         JobEntry entry = entries.get(jobId);
         if (entry != null) {
@@ -131,7 +142,7 @@
         entry.propose(nextValue);
     }
 
-    /** Records that the proposed value is stored with this version. */
+    /** Records that the proposed value is stored with this version, and applies the deferred event, if any. */
     public void commitProposed(JobEntry entry, long version) {
         Pipeline nextValue = entry.proposed();
         entry.propose(null);
@@ -139,7 +150,7 @@
         observeDeferred(entry);
     }
 
-    /** Records that the proposed value can no longer be stored. */
+    /** Records that the proposed value can no longer be stored, and applies the deferred event, if any. */
     public void abandonProposed(JobEntry entry) {
         entry.propose(null);
         observeDeferred(entry);
@@ -152,7 +163,7 @@
         }
     }
 
-    /** Removes a job that has moved to its terminal record at this version. */
+    /** Removes a job whose live value was replaced by its terminal record at this version. */
     public void remove(String jobId, long version) {
         JobEntry entry = entries.remove(jobId);
         removedAtVersion.merge(jobId, version, Math::max);
@@ -162,7 +173,7 @@
         }
     }
 
-    /** Forgets removals up to this revision, which no later watch event can precede. */
+    /** Discards the versions of removals up to this revision, since all later watch events have higher versions. */
     public void forgetRemovalsUpTo(long revision) {
         removedAtVersion.values().removeIf(version -> version <= revision);
     }
--- a/src/main/java/org/spoolline/job/JobWatcher.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -12,8 +12,9 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Keeps the leader's table of live jobs in step with the key-value store: one listing, then watches without a gap. All
- * methods and callbacks run on the event loop.
+ * Synchronizes the leader's table of live jobs with the key-value store. It lists the live jobs once and then watches
+ * for changes, each watch starting at the revision at which the previous read ended. All methods and callbacks run on
+ * the event loop.
  */
 public final class JobWatcher {
     private static final Logger LOG = LoggerFactory.getLogger(JobWatcher.class);
@@ -27,16 +28,16 @@
     private final Counters counters;
     private long termToken;
     private boolean loaded;
-    /** Since when reading has failed, or when it last succeeded. */
+    /** When a listing or watch last succeeded; the start of the term before the first success. */
     private long lastReadAt;
 
     private long failureLoggedAt;
 
     /**
-     * Creates a watcher that reads nothing before {@link #beginTerm}.
+     * Creates a watcher, which sends no request before {@link #beginTerm}.
      *
-     * @param onLoaded  runs once a term, when all live jobs are known
-     * @param onChanged runs when some jobs may have changed
+     * @param onLoaded runs once per term, when all live jobs are loaded
+     * @param onChanged runs when at least one job may have changed
      */
     public JobWatcher(
             EventLoop loop,
@@ -55,7 +56,10 @@
         this.counters = counters;
     }
 
-    /** Begins the term of this token and reads the live jobs, which the election has fenced; with 0 the present term ends. */
+    /**
+     * Starts the term of this fencing token and reads the live jobs, which the election has fenced against writes of
+     * former leaders. Token 0 ends the current term without starting another.
+     */
     public void beginTerm(long token) {
         termToken = token;
         loaded = false;
@@ -66,7 +70,7 @@
         }
     }
 
-    /** True once all live jobs were read in this term. */
+    /** True once all live jobs have been read in this term. */
     public boolean loaded() {
         return loaded;
     }
@@ -134,7 +138,10 @@
         });
     }
 
-    /** Logs the end of a time without a read at info, since the age of what a leader knows explains what it does. */
+    /**
+     * Records a successful read. The end of a long time without one is logged at info, because the staleness of the
+     * leader's view explains its decisions in that time.
+     */
     private void recordReadSuccess(long revision, long sentAt) {
         long unreadMs = loop.now() - lastReadAt;
         if (unreadMs >= Constants.Logging.READ_GAP_LOG_MS) {
@@ -145,7 +152,10 @@
         lastReadAt = loop.now();
     }
 
-    /** Logs that a leader which can't read the jobs places nothing, though not at each failure. */
+    /**
+     * Records a failed read. Logs a warning at most once per interval, because a leader that can't read the jobs
+     * places no tasks.
+     */
     private void recordReadFailure(Event event) {
         counters.count(event);
         if (loop.now() - failureLoggedAt >= Constants.Logging.READ_FAILURE_LOG_MS) {
@@ -154,7 +164,7 @@
         }
     }
 
-    /** Runs the task after a delay, unless the term has ended by then. */
+    /** Runs the task after a delay, unless the term has ended in the meantime. */
     private void scheduleInTerm(long delayMs, long token, Runnable task) {
         loop.after(delayMs, () -> {
             if (termToken == token) {
--- a/src/main/java/org/spoolline/job/LruJobCache.java
+++ b/src/main/java/org/spoolline/job/LruJobCache.java
@@ -5,8 +5,8 @@
 import org.spoolline.config.Constants;
 
 /**
- * A cache by job id that holds {@link Constants.Api#JOB_CACHE_SIZE} entries at most and evicts the least recently used
- * one. Both reads and writes of an entry count as its use, {@link #containsKey} does not. Not thread-safe.
+ * A cache by job id that holds at most {@link Constants.Api#JOB_CACHE_SIZE} entries and evicts the least recently
+ * used one. Reads and writes of an entry count as use; {@link #containsKey} does not. Not thread-safe.
  */
 public final class LruJobCache<V> extends LinkedHashMap<String, V> {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/org/spoolline/job/TeamQuotas.java
+++ b/src/main/java/org/spoolline/job/TeamQuotas.java
@@ -3,29 +3,32 @@
 import org.spoolline.config.Constants;
 import org.spoolline.config.Settings;
 
-/** The teams' limits beside what their committed attempts take. Used on the event loop only. */
+/**
+ * The resource limits of the teams, compared with the resources of their active attempts. Used on the event loop
+ * only.
+ */
 public final class TeamQuotas {
     private final Settings settings;
     private final JobTable jobs;
 
-    /** Quotas by the settings, usage by the table. */
+    /** Creates quotas with the limits from the settings and the usage from the table. */
     public TeamQuotas(Settings settings, JobTable jobs) {
         this.settings = settings;
         this.jobs = jobs;
     }
 
-    /** Cores that the team's attempts take, or may take once they are launched. */
+    /** Cores of the team's active attempts, including those that are not launched yet. */
     public double coresUsed(String team) {
         return jobs.coresUsed(team);
     }
 
-    /** The team's limit in cores; 0 for a team that the settings don't name. */
+    /** The team's limit in cores; 0 for a team that is not in the settings. */
     public double maxCores(String team) {
         Settings.Team limits = settings.teams().get(team);
         return limits == null ? 0 : limits.maxCores();
     }
 
-    /** True when the team's attempts would exceed its limit if all of them ran. */
+    /** True when the team's active attempts, launched or not, exceed its limit in cores or accelerators. */
     public boolean exceeded(String team) {
         Settings.Team limits = settings.teams().get(team);
         double maxAccelerators = limits == null ? 0 : limits.maxAccelerators();
--- a/src/main/java/org/spoolline/job/TeamUsageIndex.java
+++ b/src/main/java/org/spoolline/job/TeamUsageIndex.java
@@ -5,13 +5,14 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * What the attempts of each team take, kept up to date by differences so that a query costs the same for any number of
- * jobs. Amounts are summed as whole millionths: sums of fractions would drift.
+ * The resources used by the attempts of each team. It is updated incrementally, so that the cost of a query does not
+ * depend on the number of jobs. Amounts are summed as integer millionths, because floating-point sums would
+ * accumulate rounding errors.
  */
 final class TeamUsageIndex {
     private static final double MILLIONTHS_PER_UNIT = 1e6;
 
-    /** Millionths of cores and of accelerators. */
+    /** Amounts in millionths of a core and of an accelerator. */
     private static final class Amounts {
         long cores;
         long accelerators;
@@ -19,25 +20,25 @@
 
     private final Map<String, Amounts> byTeam = new HashMap<>();
 
-    /** Forgets all usage. */
+    /** Removes all usage. */
     void clear() {
         byTeam.clear();
     }
 
-    /** Adds so many attempts of the job; a negative number takes them away. */
+    /** Adds the resources of this number of attempts of the job; a negative number subtracts them. */
     void add(Submission job, int attempts) {
         Amounts amounts = byTeam.computeIfAbsent(job.team(), team -> new Amounts());
         amounts.cores += attempts * toMillionths(job.cores());
         amounts.accelerators += attempts * toMillionths(job.accelerators());
     }
 
-    /** Cores that the team's attempts take. */
+    /** Cores used by the team's attempts. */
     double cores(String team) {
         Amounts amounts = byTeam.get(team);
         return amounts == null ? 0 : amounts.cores / MILLIONTHS_PER_UNIT;
     }
 
-    /** Accelerators that the team's attempts take. */
+    /** Accelerators used by the team's attempts. */
     double accelerators(String team) {
         Amounts amounts = byTeam.get(team);
         return amounts == null ? 0 : amounts.accelerators / MILLIONTHS_PER_UNIT;
--- a/src/main/java/org/spoolline/job/TerminalRecord.java
+++ b/src/main/java/org/spoolline/job/TerminalRecord.java
@@ -6,8 +6,8 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * What the key-value store keeps of a job in a terminal state, for ever. Earlier and later versions read the stored form
- * too: its fields stay as they are.
+ * The record that the key-value store keeps permanently of a job in a terminal state. Earlier and later software
+ * versions read the stored form too, so its fields must not change.
  *
  * @param done           true if all tasks completed, false if the job was cancelled
  * @param completedTasks the number of tasks that completed
@@ -30,7 +30,9 @@
                 .put(COMPLETED_TASKS, completedTasks);
     }
 
-    /** Reads a stored form. One that is malformed reads as the record of a cancelled job, so that no read fails. */
+    /**
+     * Decodes a stored form. A malformed one is decoded as the record of a cancelled job, so that a read never fails.
+     */
     public static TerminalRecord decode(JsonNode stored) {
         boolean done = OUTCOME_DONE.equals(stored.path(OUTCOME).asText());
         return new TerminalRecord(done, stored.path(COMPLETED_TASKS).asInt());
--- a/src/main/java/org/spoolline/job/package-info.java
+++ b/src/main/java/org/spoolline/job/package-info.java
@@ -1,2 +1,2 @@
-/** Jobs as they are stored: keys, live and terminal records, and the table of live jobs that the leader keeps. */
+/** Stored jobs: their keys, live values and terminal records, and the leader's table of live jobs. */
 package org.spoolline.job;
--- a/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
@@ -19,8 +19,9 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Steps single jobs by what is proven about their attempts, and decides which attempts are to be stopped: those of broken
- * gangs, those on machines that are about to be interrupted or returned, and those that are preempted.
+ * Updates single jobs by what is proven about their attempts, and determines which attempts are to be stopped:
+ * members of gangs that have lost a member, attempts on machines that are about to be interrupted or returned, and
+ * preempted attempts.
  *
  * <p>All methods are called on the event loop, between {@link #beginTerm} and {@link #endTerm}.
  */
@@ -37,13 +38,16 @@
     private final GangReconciler gangs;
 
     private TerminationProof terminationProof;
-    /** When this leader first saw a cancelled job with unlisted attempts. */
+    /**
+     * When this leader first observed the cancelled value of a job with unlisted attempts, in ms of the loop's clock,
+     * by job id.
+     */
     private final Map<String, Long> unlistedObservedAt = new HashMap<>();
 
     /**
-     * Creates a reconciler for one node, which may lead any number of terms.
+     * Creates a reconciler for one node. The node may become leader any number of times.
      *
-     * @param orders is notified of machines with attempts that are to be stopped
+     * @param orders is notified of the machines whose attempts are to be stopped
      */
     public AttemptReconciler(
             EventLoop loop,
@@ -61,45 +65,50 @@
         this.gangs = new GangReconciler(loop, machines, new TaskPhases(machines), stops, orders);
     }
 
-    /** Begins a term, with the rules by which termination is proven in it. */
+    /**
+     * Starts a leadership term and discards the state of the previous one. The proof is used for all attempts of the
+     * term.
+     */
     public void beginTerm(TerminationProof proof) {
         endTerm();
         terminationProof = proof;
     }
 
-    /** Ends the term: forgets which attempts were to be stopped. */
+    /** Ends the leadership term and discards all stop requests. */
     public void endTerm() {
         stops.clear();
         unlistedObservedAt.clear();
     }
 
-    /** Forgets a job that has reached a terminal state. */
+    /** Discards the state of a job that has reached a terminal state. */
     public void forget(String jobId) {
         stops.removeJob(jobId);
         unlistedObservedAt.remove(jobId);
     }
 
-    /** True when some attempt of the job is to be stopped. */
+    /** True when a stop is requested for at least one attempt of the job. */
     public boolean hasStopRequests(String jobId) {
         return stops.containsJob(jobId);
     }
 
-    /** The grace in seconds with which an attempt is to be stopped; empty for one that is to continue. */
+    /** The grace period in seconds of the attempt's stop request; empty when no stop is requested. */
     public OptionalDouble graceOf(AttemptId attemptId) {
         return stops.graceOf(attemptId);
     }
 
-    /** Requests that an attempt is stopped with this grace in seconds. */
+    /** Requests the stop of an attempt with this grace period in seconds; replaces an earlier request. */
     public void requestStop(AttemptId attemptId, double graceS) {
         stops.request(attemptId, graceS);
     }
 
     /**
-     * Steps a job by what is proven about some of its attempts. Exception boundary: a job that can't be reconciled must
-     * not stop the cycles for all others, so it is logged and left as it is.
+     * Computes a job's next value from what is proven about the given attempts. Exception boundary: if a job can't be
+     * reconciled, the error is logged and the job stays unchanged, so that the scheduling cycle continues for all
+     * other jobs.
      *
+     * @param attempts the attempts to assess; those that are not committed are ignored
      * @param earlierDecisions what earlier cycles have decided about the job and its team
-     * @return the job's next value; empty when nothing changes
+     * @return the job's next value; empty when nothing changes or reconciliation fails
      */
     public Optional<Pipeline> tryReconcile(
             Pipeline committed, Collection<Attempt> attempts, EarlierDecisions earlierDecisions) {
@@ -172,8 +181,9 @@
     }
 
     /**
-     * True for a cancelled job without listed attempts, once no unlisted one can be left: cancel_s after its value was
-     * stored, and so after it was first read here.
+     * True for a cancelled job without listed attempts once no unlisted attempt can still be on a machine. That is so
+     * cancel_s after the cancelled value was stored. The time is counted from when this leader first observed the
+     * value, which can't be before it was stored, and includes a margin for clock drift.
      */
     private boolean unlistedAttemptsTerminated(Pipeline job) {
         if (!job.cancelled() || !job.attempts().isEmpty()) {
@@ -187,8 +197,11 @@
     }
 
     /**
-     * Requests the stop of a task on a machine that the cloud is about to interrupt, or that is being evacuated. Only one
-     * that can save a checkpoint, or has not started, gains by it.
+     * Requests the stop of an attempt if the cloud is about to interrupt its machine or the machine is being
+     * evacuated. An attempt that has started and can't save a checkpoint is left running, since an early stop would
+     * only lose its progress.
+     *
+     * @return true when the stop was requested
      */
     private boolean requestStopForEviction(Pipeline job, Attempt attempt, Machine machine) {
         if (machine == null || !machine.hasInterruptionNotice() && !machine.evacuating()) {
--- a/src/main/java/org/spoolline/reconcile/DesiredState.java
+++ b/src/main/java/org/spoolline/reconcile/DesiredState.java
@@ -4,13 +4,13 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * The scheduler's decisions about stored attempts, beyond that each one runs on its machine. Queried for each task of each
- * heartbeat, so implementations don't allocate.
+ * The scheduler's decisions to stop a stored attempt or to delay its launch. Without such a decision a stored attempt
+ * runs on its machine. Queried for each task of each heartbeat, so implementations don't allocate.
  */
 public interface DesiredState {
-    /** The grace in seconds with which an attempt is to be stopped; empty for one that is to continue. */
+    /** The grace period in seconds with which the attempt is to be stopped; empty when it is to continue. */
     OptionalDouble graceOf(AttemptId attempt);
 
-    /** False while a stored attempt is not to be launched yet. */
+    /** False while the launch of a stored attempt has to be delayed. */
     boolean mayLaunch(AttemptId attempt);
 }
--- a/src/main/java/org/spoolline/reconcile/DraftPipeline.java
+++ b/src/main/java/org/spoolline/reconcile/DraftPipeline.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import org.spoolline.pipeline.Pipeline;
 
-/** A job's next value, which is copied from the committed one at the first change: most jobs don't change in a cycle. */
+/**
+ * A job's next value. The committed value is copied only before the first change, since most jobs don't change in a
+ * cycle.
+ */
 final class DraftPipeline {
     private final Pipeline committed;
     private Pipeline draft;
@@ -12,17 +15,17 @@
         this.committed = committed;
     }
 
-    /** The committed value, which is never changed. */
+    /** The committed value; must not be modified. */
     Pipeline committed() {
         return committed;
     }
 
-    /** The value with all changes so far; only to be read. */
+    /** The value with all changes so far; must not be modified. */
     Pipeline current() {
         return draft == null ? committed : draft;
     }
 
-    /** The value to be changed. */
+    /** The copy to which changes are applied; created by the first call. */
     Pipeline mutableCopy() {
         if (draft == null) {
             draft = committed.copy();
@@ -30,7 +33,7 @@
         return draft;
     }
 
-    /** The changed value; empty when nothing was changed. */
+    /** The modified copy; empty when {@link #mutableCopy} was never called. */
     Optional<Pipeline> changedValue() {
         return Optional.ofNullable(draft);
     }
--- a/src/main/java/org/spoolline/reconcile/GangReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/GangReconciler.java
@@ -7,7 +7,10 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 
-/** Stops gangs as a whole: a gang that has lost a member can't continue, and one member is not stopped alone. */
+/**
+ * Stops gangs as a whole. A gang that has lost a member can't continue, and a single member is never stopped without
+ * the others.
+ */
 final class GangReconciler {
     private final EventLoop loop;
     private final MachineRegistry machines;
@@ -24,7 +27,11 @@
         this.orders = orders;
     }
 
-    /** Stops all members of a broken or stopping gang; it starts again once each one is proven to have terminated. */
+    /**
+     * Requests the stop of all members if the gang has lost a member after its start or if the stop of any member is
+     * requested. The gang is placed again once all members are proven to have terminated; those that are proven
+     * absent from their machines are removed here.
+     */
     void reconcile(DraftPipeline draft, TerminationProof proof) {
         Pipeline gang = draft.current();
         boolean broken = isBroken(gang);
@@ -43,7 +50,10 @@
         }
     }
 
-    /** Before the start, the other members may wait for a replacement under the same attempt number. */
+    /**
+     * True when the gang has started and lacks a member. Before the start the other members can wait for a
+     * replacement, which gets the same attempt number.
+     */
     private boolean isBroken(Pipeline gang) {
         return gang.attempts().size() < gang.spec().tasks() && hasStarted(gang);
     }
--- a/src/main/java/org/spoolline/reconcile/LostAttemptsLog.java
+++ b/src/main/java/org/spoolline/reconcile/LostAttemptsLog.java
@@ -8,14 +8,18 @@
 import org.spoolline.pipeline.Attempt;
 
 /**
- * Logs the attempts of one job that are proven to have terminated with their machines or incarnations: at info one line
- * for each proof, since after a crash of all controllers hundreds are lost when time is short; at debug one for each attempt.
+ * Logs the attempts of one job that are proven to have terminated with their machines or incarnations. At info it
+ * writes one line per kind of proof, because after a crash of all controllers hundreds of attempts can be lost while
+ * the new leader has little time. At debug it writes one line per attempt.
  */
 final class LostAttemptsLog {
     private static final Logger LOG = LoggerFactory.getLogger(LostAttemptsLog.class);
     private static final long UNKNOWN = -1;
 
-    /** The attempts of one proof, with the least age of what it rests on; -1 for what never was. */
+    /**
+     * The number of attempts lost by one kind of proof, with the lowest age in ms of the last heartbeat and of the
+     * last response; -1 if there was none.
+     */
     private static final class Summary {
         int attempts;
         long heartbeatAgeMs = Long.MAX_VALUE;
@@ -24,7 +28,9 @@
 
     private final String jobId;
     private final long now;
-    /** Empty for most jobs in most cycles, and then without a table of its own. */
+    /**
+     * The summaries by kind of proof. Most jobs lose no attempt in a cycle, so the map is allocated only when needed.
+     */
     private Map<TerminationProof.Proof, Summary> byProof = Map.of();
 
     LostAttemptsLog(String jobId, long now) {
@@ -32,7 +38,7 @@
         this.now = now;
     }
 
-    /** Adds an attempt on a machine, which is null when this leader has not heard of it. */
+    /** Adds a lost attempt; {@code machine} is null when this leader does not know the attempt's machine. */
     void add(Attempt attempt, TerminationProof.Proof proof, Machine machine) {
         long heartbeatAgeMs = machine == null ? UNKNOWN : ageMs(machine.lastHeartbeatAt());
         long responseAgeMs = machine == null ? UNKNOWN : ageMs(machine.lastResponseAt());
@@ -57,7 +63,7 @@
                 responseAgeMs);
     }
 
-    /** Writes the lines at info. */
+    /** Writes one line at info for each kind of proof. */
     void logSummaries() {
         byProof.forEach((proof, summary) -> LOG.info(
                 "Lost attempts with their machines: job={} attempts={} proof={} heartbeat_age_ms={} response_age_ms={}",
--- a/src/main/java/org/spoolline/reconcile/OrderListener.java
+++ b/src/main/java/org/spoolline/reconcile/OrderListener.java
@@ -1,8 +1,8 @@
 package org.spoolline.reconcile;
 
-/** Receives the names of machines whose orders change. */
+/** Is notified of the machines whose orders have changed. */
 @FunctionalInterface
 public interface OrderListener {
-    /** The next response to the machine's heartbeat has to carry new orders. */
+    /** Called when the orders for the machine have changed and are to be sent in the response to its next heartbeat. */
     void ordersChanged(String machine);
 }
--- a/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
+++ b/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
@@ -12,7 +12,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** Applies the reported exit of a task to its job and to what is known of its machine. */
+/** Applies the reported exit of an attempt to its job and to the failure and completion records of its machine. */
 final class TaskExitHandler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskExitHandler.class);
 
@@ -26,7 +26,10 @@
         this.reservations = reservations;
     }
 
-    /** Applies the exit of an attempt on a machine to the job, whose value is changed. */
+    /**
+     * Applies the exit status of an attempt to the job, which is modified in place, and to the machine that reported
+     * it.
+     */
     void apply(Pipeline job, Attempt attempt, Machine machine, TaskStatus status) {
         switch (status.exitReason()) {
             case COMPLETED -> applyCompletion(job, attempt, machine);
@@ -43,7 +46,7 @@
     private void applyCompletion(Pipeline job, Attempt attempt, Machine machine) {
         machine.recordTaskCompletion();
         if (job.spec().shape() == Submission.Shape.SERVICE) {
-            // A service never completes: its task is started again until the user cancels.
+            // A service never completes: its tasks are placed again until the user cancels the job.
             job.loseAttempt(attempt);
             backOff(job);
         } else if (job.cancelled()) {
@@ -56,14 +59,20 @@
         }
     }
 
-    /** By the protocol a gang completes together: if one task is done, every one is. */
+    /**
+     * Completes all tasks of the gang: by the worker protocol a gang completes as a whole, so one completed task
+     * implies the others.
+     */
     private static void completeGang(Pipeline job) {
         for (int task = 0; task < job.spec().tasks(); task++) {
             job.completeTask(task);
         }
     }
 
-    /** A job that fails everywhere says little about a machine; several jobs that fail on one machine do. */
+    /**
+     * Records the failure with the job and with the machine. A machine is drained after failures of several different
+     * jobs, because a single job that fails on every machine indicates no fault of the machine.
+     */
     private void applyFailure(Pipeline job, Attempt attempt, Machine machine) {
         job.loseAttempt(attempt);
         LOG.info(
@@ -109,8 +118,10 @@
     }
 
     /**
-     * Keeps the machine of a gang member that gave up waiting for members which still fetch a large image. It has the
-     * image; with other work placed there meanwhile, the gang would fetch elsewhere and time out again, by turns.
+     * Reserves the machine of a gang member whose wait timed out while other members were still fetching a large
+     * image. This machine already has the image. If other tasks were placed on it, the gang would have to fetch the
+     * image on another machine and time out again, repeatedly. The reservation lasts at least as long as an image
+     * fetch.
      */
     private void reserveMachine(Submission spec, Machine machine) {
         MachineType type = catalog.types().get(machine.type());
--- a/src/main/java/org/spoolline/reconcile/TaskPhases.java
+++ b/src/main/java/org/spoolline/reconcile/TaskPhases.java
@@ -6,16 +6,19 @@
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.AttemptId;
 
-/** The phases of tasks as of their machines' last heartbeats. */
+/** The phases of attempts according to the last heartbeats of their machines. */
 public final class TaskPhases {
     private final MachineRegistry machines;
 
-    /** Phases of tasks on these machines. */
+    /** Creates a view of the phases of all attempts on these machines. */
     public TaskPhases(MachineRegistry machines) {
         this.machines = machines;
     }
 
-    /** The last phase reported of an attempt; one that was not reported yet counts as fetching its image. */
+    /**
+     * The attempt's phase in the last heartbeat of its machine; FETCHING_IMAGE if that heartbeat does not list the
+     * attempt or the machine is unknown.
+     */
     public TaskStatus.Phase lastReported(String jobId, Attempt attempt) {
         Machine machine = machines.get(attempt.machine());
         TaskStatus status = machine == null ? null : machine.tasks().get(AttemptId.of(jobId, attempt));
--- a/src/main/java/org/spoolline/reconcile/TerminationProof.java
+++ b/src/main/java/org/spoolline/reconcile/TerminationProof.java
@@ -7,41 +7,41 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * Decides what is proven about an attempt on its machine; nothing else may conclude that an attempt has ended. There are
- * five proofs, numbered as in docs/design.md:
+ * Determines whether an attempt is proven to have ended on its machine. No other class may conclude that an attempt
+ * has ended. There are five proofs, numbered as in docs/design.md:
  *
  * <ol>
- *   <li>the machine's last heartbeat shows a token of the present leadership and is of another incarnation than the
- *       attempt's;
- *   <li>it shows such a token, is of the same incarnation, and lists the attempt as exited;
- *   <li>it shows such a token, is of the same incarnation, does not list the attempt, and no response to it or a later
- *       one ordered a launch;
- *   <li>the machine itself is terminated, as the cloud has confirmed;
- *   <li>lease expiry: nobody can have renewed the lease of the attempt's incarnation for longer than the lease lasts, nor
- *       has that incarnation been heard of for the first time since.
+ * <li>the machine's last heartbeat shows a fencing token of the current leadership and is of another incarnation than
+ *     the attempt;
+ * <li>the last heartbeat shows such a token, is of the attempt's incarnation, and lists the attempt as exited;
+ * <li>the last heartbeat shows such a token, is of the attempt's incarnation, does not list the attempt, and no
+ *     response to this or a later heartbeat ordered the launch of the attempt;
+ * <li>the cloud has confirmed that the machine is terminated;
+ * <li>lease expiry: for longer than the lease lasts, no leader can have renewed the lease of the attempt's
+ *     incarnation, and no first heartbeat of that incarnation has arrived.
  * </ol>
  *
- * Everything else, such as a refused connection, proves nothing. An instance serves one leadership. It keeps no state of
- * its own and is used on the event loop only.
+ * Any other observation, such as a refused connection, proves nothing. An instance applies to one leadership, is
+ * immutable and is used on the event loop only.
  */
 public final class TerminationProof {
     /** What is proven about an attempt. */
     public enum AttemptState {
-        /** The last heartbeat lists it as not exited. */
+        /** The last heartbeat lists the attempt in a phase other than exited. */
         ALIVE,
-        /** Proof 2: it has exited, and its status says why. */
+        /** Proof 2: the attempt has exited; its status contains the exit reason. */
         EXITED,
-        /** Proof 3: it is not on the machine, and no launch is on its way. */
+        /** Proof 3: the attempt is not on the machine, and no launch order for it is in flight. */
         ABSENT,
-        /** Proof 1, 4 or 5: it has ended, and its exit will never be reported. */
+        /** Proof 1, 4 or 5: the attempt has ended, and no heartbeat will report its exit reason. */
         TERMINATED,
-        /** Nothing is proven: the attempt counts as running. */
+        /** No proof applies: the attempt is treated as running. */
         UNKNOWN
     }
 
-    /** The proof on which a verdict rests. */
+    /** The proof that supports an assessment. */
     public enum Proof {
-        /** Nothing is proven. */
+        /** No proof applies. */
         NONE,
         /** Proof 1. */
         OTHER_INCARNATION,
@@ -61,9 +61,9 @@
     }
 
     /**
-     * A verdict with what supports it.
+     * The proven state of an attempt with the proof that supports it.
      *
-     * @param status the attempt's status in the last heartbeat with ALIVE and EXITED, else null
+     * @param status the attempt's status in the last heartbeat if the state is ALIVE or EXITED, else null
      */
     public record Assessment(AttemptState state, Proof proof, TaskStatus status) {}
 
@@ -80,12 +80,12 @@
     private final long leaseExpiryMs;
 
     /**
-     * Proofs under one leadership.
+     * Creates the proofs of one leadership.
      *
-     * @param token the lowest token that workers are shown under the leadership
-     * @param formerLeadersMayRenewUntil the latest moment at which a former leader may have renewed a worker's lease, in
-     *     ms of the loop's clock
-     * @param leaseExpiryMs ms after the last renewal by which a worker has ended all its tasks
+     * @param token the lowest fencing token that the leadership sends to workers
+     * @param formerLeadersMayRenewUntil the latest time at which a former leader can have renewed a worker's lease,
+     *     in ms of the loop's clock
+     * @param leaseExpiryMs ms after its last lease renewal by which a worker has ended all its tasks
      */
     public TerminationProof(long token, long formerLeadersMayRenewUntil, long leaseExpiryMs) {
         this.token = token;
@@ -94,10 +94,10 @@
     }
 
     /**
-     * What is proven about the job's attempt.
+     * Returns what is proven about the attempt of the job.
      *
-     * @param machine the attempt's machine, or null when the leader has not heard of it
-     * @param now in ms of the loop's clock
+     * @param machine the attempt's machine, or null when this leader does not know it
+     * @param now the current time in ms of the loop's clock
      */
     public Assessment assess(String jobId, Attempt attempt, Machine machine, long now) {
         if (machine == null) {
@@ -113,14 +113,15 @@
     }
 
     /**
-     * Proofs 1 to 3. A machine that restarts at once counts its incarnations and heartbeats from the start: a copy of a
-     * heartbeat from before looks newer than the present ones, but can't show a token first shown since.
+     * Evaluates proofs 1 to 3. A machine that restarts immediately resets its incarnation and heartbeat numbers. A
+     * delayed copy of a heartbeat from before the restart then has higher numbers than the current heartbeats, but it
+     * can't show a token that was first sent after the restart.
      */
     private Assessment assessLastHeartbeat(String jobId, Attempt attempt, Machine machine) {
         boolean showsCurrentToken = machine.hasAcknowledged(token);
         if (machine.incarnation() != attempt.incarnation()) {
-            // A later incarnation, or an earlier one after a restart: one that shows the token lived after the
-            // attempt's.
+            // The reported incarnation is a later one, or has a lower number because the machine restarted. If it
+            // shows the token, it began after the attempt's incarnation in both cases.
             return showsCurrentToken ? OTHER_INCARNATION : UNKNOWN;
         }
         AttemptId attemptId = AttemptId.of(jobId, attempt);
@@ -135,10 +136,11 @@
     }
 
     /**
-     * The latest moment at which the lease of the attempt's incarnation can have been renewed, or have begun. An incarnation
-     * that is heard of for the first time has just begun, as far as is known: a worker counts the next one when a lease
-     * expires, however long ago it was last answered. The answer to its heartbeat would renew that lease, so until then the
-     * expiry of the lease before proves nothing about an attempt that was placed on it.
+     * Returns the latest time at which the lease of the attempt's incarnation can have been renewed or can have
+     * begun. At the first heartbeat of an incarnation the leader has to assume that the incarnation has just begun,
+     * because a worker starts a new incarnation when its lease expires, no matter how long ago its last heartbeat was
+     * answered. The response to that first heartbeat would renew the new lease. The expiry of the previous
+     * incarnation's lease therefore proves nothing about an attempt that was placed on the new incarnation.
      */
     private long lastRenewal(Attempt attempt, Machine machine) {
         long renewedAt = Math.max(machine.lastResponseAt(), formerLeadersMayRenewUntil);
@@ -146,7 +148,10 @@
         return isCurrentIncarnation ? Math.max(renewedAt, machine.incarnationSince()) : renewedAt;
     }
 
-    /** Proof 5: the lease has expired, since neither this leader nor a former one can have renewed it for too long. */
+    /**
+     * Evaluates proof 5: the lease has expired if neither this leader nor a former one can have renewed it within the
+     * lease expiry time.
+     */
     private boolean leaseExpired(long renewedAt, long now) {
         return now > renewedAt + leaseExpiryMs;
     }
--- a/src/main/java/org/spoolline/worker/EarlyHeartbeatRequests.java
+++ b/src/main/java/org/spoolline/worker/EarlyHeartbeatRequests.java
@@ -12,11 +12,13 @@
 import org.spoolline.net.Http;
 
 /**
- * Makes machines send a heartbeat at once, so that orders reach them without waiting for the next regular one: a command
- * without orders that shows a raised token. It starts and stops nothing, so it may arrive however late. A worker reacts
- * to a raised token once per half of its lease.
+ * Requests heartbeats from machines, so that they receive their orders before their next regular heartbeat. A request
+ * is a command without orders that shows a raised fencing token; the worker responds to it by sending a heartbeat
+ * immediately. The command itself starts and stops no task, so a late delivery does no harm. A worker reacts to a
+ * raised token at most once per half of its lease.
  *
- * <p>Each request takes a socket, and sockets are few: only so many are in flight at once, and the rest wait their turn.
+ * <p>Each request occupies a socket, and the number of sockets is limited. The number of requests in flight is
+ * therefore bounded; further requests are queued.
  */
 final class EarlyHeartbeatRequests {
     private final EventLoop loop;
@@ -45,13 +47,13 @@
         this.minIntervalMs = settings.workers().leaseMs() / 2 + Constants.Time.MARGIN_MS;
     }
 
-    /** Requests a heartbeat of each machine, now or once earlier requests are answered. */
+    /** Requests a heartbeat from each machine, immediately or as soon as earlier requests are answered. */
     void request(Collection<String> machineNames) {
         pending.addAll(machineNames);
         sendPending();
     }
 
-    /** Drops a request that waits for its turn: the machine has just sent a heartbeat. */
+    /** Removes the queued request for a machine that has just sent a heartbeat. */
     void cancel(String name) {
         pending.remove(name);
     }
--- a/src/main/java/org/spoolline/worker/HeartbeatCodec.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatCodec.java
@@ -12,9 +12,9 @@
 import org.spoolline.net.Json;
 
 /**
- * Reads heartbeats from their wire form. With {@link HeartbeatResponseCodec} it is the only place that knows the
- * workers' field names. It reads the tokens as they come, without a tree: heartbeats are the most frequent requests. An
- * instance holds the fields of one heartbeat, as far as they are read.
+ * Decodes heartbeats from their wire form. Only this class and {@link HeartbeatResponseCodec} know the workers' field
+ * names. It uses a streaming parser and builds no tree, because heartbeats are the most frequent requests. An
+ * instance holds the fields that have been read of one heartbeat.
  */
 final class HeartbeatCodec {
     private final JsonParser parser;
@@ -33,7 +33,10 @@
         this.parser = parser;
     }
 
-    /** The heartbeat, or empty when the bytes are none. Unknown fields are skipped. */
+    /**
+     * Decodes a heartbeat; empty when the body is malformed or a required field is missing. Unknown fields are
+     * skipped.
+     */
     static Optional<Heartbeat> decode(byte[] body) {
         try (JsonParser parser = Json.parser(body)) {
             return parser.nextToken() == JsonToken.START_OBJECT ? new HeartbeatCodec(parser).read() : Optional.empty();
@@ -58,7 +61,7 @@
                 : Optional.empty();
     }
 
-    /** Reads the value at which the parser stands; false when it makes the whole no heartbeat. */
+    /** Reads the parser's current value as that of the field; false when the value makes the heartbeat malformed. */
     private boolean readField(String field, JsonToken value) throws IOException {
         switch (field) {
             case "spooler" -> machine = parser.getValueAsString("");
@@ -80,7 +83,7 @@
         return true;
     }
 
-    /** Reads task objects up to anything else; false when one of them is no task. */
+    /** Reads task objects up to the first token that does not start an object; false when one of them is malformed. */
     private boolean readTasks() throws IOException {
         while (parser.nextToken() == JsonToken.START_OBJECT) {
             if (!readTask()) {
@@ -131,7 +134,7 @@
         };
     }
 
-    /** A reason that is unknown here counts as a failure of the task. */
+    /** Decodes an exit reason. An unrecognized one is treated as a failure of the task. */
     private static TaskStatus.ExitReason exitReason(String wireValue) {
         return switch (wireValue) {
             case "done" -> TaskStatus.ExitReason.COMPLETED;
--- a/src/main/java/org/spoolline/worker/HeartbeatRejection.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatRejection.java
@@ -2,21 +2,30 @@
 
 import org.spoolline.metrics.Event;
 
-/** Why a heartbeat is answered without renewing the worker's lease. */
+/** Why the response to a heartbeat does not renew the worker's lease. */
 enum HeartbeatRejection {
-    /** The body is no heartbeat. */
+    /** The body can't be decoded as a heartbeat. */
     MALFORMED(Event.HEARTBEAT_MALFORMED),
-    /** This node does not lead and knows no leader to redirect to. */
+    /** This node is not the leader and knows no leader to which it could redirect the worker. */
     NO_KNOWN_LEADER(Event.HEARTBEAT_WITHOUT_LEADER),
-    /** The machine is terminated: its attempts may run elsewhere, so a renewed lease could make a task run twice. */
+    /**
+     * The machine is terminated. Its tasks may already run on other machines, so a renewed lease could make a task
+     * run twice.
+     */
     MACHINE_TERMINATED(Event.HEARTBEAT_OF_TERMINATED_MACHINE),
-    /** The key-value store is out of reach, and the worker is to ask the other controllers for a newer leader. */
+    /**
+     * The leader can't reach the key-value store. The rejection makes the worker ask the other controllers for a
+     * newer leader.
+     */
     LEADER_PROBE(Event.HEARTBEAT_LEADER_PROBE),
-    /** A late copy of an earlier heartbeat: the worker no longer waits for this response. */
+    /** The heartbeat is older than one already received. The worker no longer waits for this response. */
     STALE_HEARTBEAT(Event.HEARTBEAT_STALE),
-    /** The leader's view of the jobs is beyond the staleness bound of lease renewals. */
+    /** The leader's view of the jobs is older than the staleness bound for lease renewals. */
     STALE_VIEW(Event.HEARTBEAT_STALE_VIEW),
-    /** The machine was terminated while its response was held; on the wire this is the same as {@link #STALE_VIEW}. */
+    /**
+     * The machine was terminated while the response was held. The wire form is the same as that of {@link
+     * #STALE_VIEW}.
+     */
     TERMINATED_WHILE_HELD(Event.HEARTBEAT_OF_TERMINATED_MACHINE);
 
     private final Event event;
@@ -25,7 +34,7 @@
         this.event = event;
     }
 
-    /** The event under which the rejection is counted. */
+    /** The metrics event that counts this rejection. */
     Event event() {
         return event;
     }
--- a/src/main/java/org/spoolline/worker/HeartbeatResponder.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -12,8 +12,8 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * Answers accepted heartbeats: renews the worker's lease if the staleness bound still allows it at the moment of the
- * answer, and sends the orders that the leader may give at that moment. Used on the event loop only.
+ * Responds to accepted heartbeats. At the time of the response, it renews the worker's lease if the staleness bound
+ * allows it, and adds the orders that the leader may give. Used on the event loop only.
  */
 final class HeartbeatResponder {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
@@ -41,24 +41,27 @@
         this.counters = counters;
     }
 
-    /** Sends orders from now on: the live jobs have been read under the present fencing token. */
+    /** Includes orders in later responses; called once the live jobs have been read under the current fencing token. */
     void enableOrders() {
         ordersEnabled = true;
     }
 
-    /** Renews leases without orders from now on. */
+    /** Excludes orders from later responses; leases are still renewed. */
     void disableOrders() {
         ordersEnabled = false;
     }
 
-    /** Answers with the orders that the machine needs now. */
+    /** Sends the response with the orders that the machine currently needs, or rejects the heartbeat. */
     void respondWithOrders(PendingResponse pending) {
         if (mayRenewOrReject(pending)) {
             renew(pending, ordersFor(pending));
         }
     }
 
-    /** Answers a heartbeat that a later one has replaced: its orders travel in the later one's response. */
+    /**
+     * Sends the response to a heartbeat that a later heartbeat of the machine has superseded, or rejects it. The
+     * orders are sent in the response to the later heartbeat.
+     */
     void respondWithoutOrders(PendingResponse pending) {
         if (mayRenewOrReject(pending)) {
             renew(pending, List.of());
--- a/src/main/java/org/spoolline/worker/HeartbeatResponseCodec.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponseCodec.java
@@ -8,9 +8,8 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * Writes the wire form of everything that workers are sent: responses to heartbeats and early-heartbeat requests. With
- * {@link HeartbeatCodec} it is the only place that knows the workers' field names. The order of the fields is part of
- * the wire form.
+ * Encodes all messages to workers: responses to heartbeats, and early-heartbeat requests. Only this class and {@link
+ * HeartbeatCodec} know the workers' field names. The order of the fields is part of the wire form.
  */
 final class HeartbeatResponseCodec {
     private static final String TOKEN = "baton";
@@ -18,7 +17,7 @@
 
     private HeartbeatResponseCodec() {}
 
-    /** Renews the worker's lease and carries its orders. */
+    /** Encodes a response that renews the worker's lease and contains its orders. */
     static Http.Response renewal(long token, List<Order> orders) {
         ObjectNode body = Json.object().put(TOKEN, token);
         ArrayNode array = body.putArray(ORDERS);
@@ -28,18 +27,18 @@
         return Http.Response.of(200, Json.bytes(body));
     }
 
-    /** Sends the worker to the leader, by its node name. */
+    /** Encodes a response that redirects the worker to the leader with this node name. */
     static Http.Response redirect(String leader) {
         return Http.Response.of(421, Json.bytes(Json.object().put("foreman", leader)));
     }
 
-    /** Tells the worker that its lease is not renewed, and why. */
+    /** Encodes a response that does not renew the worker's lease, with the reason. */
     static Http.Response rejection(HeartbeatRejection rejection) {
         int status = rejection == HeartbeatRejection.MALFORMED ? 400 : 503;
         return Http.Response.of(status, Json.error(errorText(rejection)));
     }
 
-    /** The body of a command without orders, whose raised token makes the worker send a heartbeat at once. */
+    /** Encodes a command without orders. Its raised token makes the worker send a heartbeat immediately. */
     static byte[] earlyHeartbeatRequest(long token, long incarnation) {
         ObjectNode body = Json.object().put(TOKEN, token).put("shift", incarnation);
         body.putArray(ORDERS);
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -21,9 +21,9 @@
 import org.spoolline.reconcile.DesiredState;
 
 /**
- * The workers' heartbeat endpoint. It decides whether a heartbeat is served here, redirected to the leader or rejected;
- * {@link HeartbeatResponder} answers those that are served, at once or after a short hold ({@link HeldResponses}). Used on the
- * event loop only.
+ * The workers' heartbeat endpoint. It decides whether this node accepts a heartbeat, redirects the worker to the
+ * leader or rejects the heartbeat. {@link HeartbeatResponder} responds to accepted heartbeats, immediately or after a
+ * short hold ({@link HeldResponses}). Used on the event loop only.
  */
 public final class HeartbeatService {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatService.class);
@@ -45,9 +45,9 @@
     /**
      * Creates the endpoint.
      *
-     * @param desiredState which stored attempts are to be stopped, and which may be launched
-     * @param onChange is called with each machine whose heartbeat shows a change, after the heartbeat is answered or its
-     *     response held
+     * @param desiredState the stored attempts that are to be stopped, and those that may be launched
+     * @param onChange is called with each machine whose heartbeat reports a change, after the response to it is sent
+     *     or held
      */
     public HeartbeatService(
             EventLoop loop,
@@ -76,30 +76,37 @@
         earlyHeartbeats = new EarlyHeartbeatRequests(loop, http, settings, election, machines, heldResponses);
     }
 
-    /** True when a heartbeat has come here lately, whatever its response was. */
+    /**
+     * True when a heartbeat has reached this node within the time after which heartbeats are regarded as missing. A
+     * heartbeat counts if this node accepts it, or if it is not the leader.
+     */
     public boolean receivesHeartbeats() {
         return loop.now() - lastHeartbeatAt < settings.heartbeatsMissingMs();
     }
 
-    /** True when machines are known but no heartbeat has come for too long: workers may be unable to reach this node. */
+    /**
+     * True when machines are known that are not terminated, but {@link #receivesHeartbeats} is false. Workers may be
+     * unable to reach this node.
+     */
     public boolean workersUnreachable() {
         return !receivesHeartbeats() && machines.all().stream().anyMatch(machine -> !machine.terminated());
     }
 
-    /** Sends orders from now on: the live jobs have been read under the present token. */
+    /** Includes orders in later responses; called once the live jobs have been read under the current fencing token. */
     public void enableOrders() {
         responder.enableOrders();
     }
 
-    /** Sends no orders until {@link #enableOrders}: a term begins or ends. */
+    /** Excludes orders from responses until {@link #enableOrders}; called when a leadership term begins or ends. */
     public void disableOrders() {
         responder.disableOrders();
     }
 
-    /** Serves one heartbeat. The answer is given exactly once, at once or after a short hold. */
+    /** Handles one heartbeat request. Calls {@code answer} exactly once, immediately or after a short hold. */
     public void handle(Http.Request request, Consumer<Http.Response> answer) {
         if (!election.isLeader()) {
-            // Not decoded: after a crash of all controllers a thousand workers reach just started processes at once.
+            // The body is not decoded: after a crash of all controllers, a thousand workers send heartbeats to
+            // controllers that have just started.
             redirectToLeader(answer);
             return;
         }
@@ -116,17 +123,20 @@
         handleAsLeader(heartbeat.get(), answer);
     }
 
-    /** Releases every held response: all values of the scheduling cycles are written. */
+    /** Sends all held responses; called once all values of the scheduling cycles are written. */
     public void releaseHeldResponses() {
         heldResponses.releaseAll();
     }
 
-    /** Releases the held responses to machines that have attempts to launch. */
+    /** Sends the held responses to machines that have attempts to launch. */
     public void releaseHeldLaunches() {
         heldResponses.releaseWithLaunches();
     }
 
-    /** Makes the machines send a heartbeat at once, so that they receive their orders. */
+    /**
+     * Requests an early heartbeat from the machines, so that they receive their orders before their next regular
+     * heartbeat.
+     */
     public void requestEarlyHeartbeats(Collection<String> machineNames) {
         earlyHeartbeats.request(machineNames);
     }
@@ -152,7 +162,7 @@
         if (isFirst) {
             recordFirstHeartbeat(machine);
         }
-        // The response to this heartbeat carries the orders that a pending early-heartbeat request is about.
+        // The response to this heartbeat contains the orders for which an early heartbeat was to be requested.
         earlyHeartbeats.cancel(machine.name());
         heldResponses.answerSuperseded(machine.name());
         respond(machine, isFirst, answer);
@@ -162,9 +172,11 @@
     }
 
     /**
-     * Without the key-value store a leader cannot tell an outage from a partition that leaves it alone. A worker that
-     * asks the other controllers and comes back has found no newer leader; one that stays away has found one, and does
-     * not have to wait until this leadership expires.
+     * True when the worker is to check with the other controllers for a newer leader. A leader without contact to the
+     * key-value store can't distinguish an outage of the store from a network partition that isolates only itself. A
+     * rejected worker asks the other controllers. If there is a newer leader, the worker switches to it without
+     * waiting until this leadership expires; if there is none, the worker sends its next heartbeat to this node
+     * again.
      */
     private boolean shouldProbeForLeader(Machine machine) {
         return !election.hasValidLease()
@@ -191,8 +203,9 @@
     }
 
     /**
-     * Before the jobs are read, nobody here can tell whose lease may be renewed. Where capacity becomes free, the launch
-     * of the next task is only a commit away, but the next heartbeat seconds.
+     * True when the response is to be held. Until the live jobs are read, this node can't determine whether it may
+     * renew the lease. When the heartbeat shows free capacity, the next task for it can be launched as soon as its
+     * attempt is committed, whereas the next heartbeat arrives only seconds later.
      */
     private boolean shouldHold(Machine machine, boolean isFirst) {
         if (!staleness.hasCompleteView()) {
@@ -202,7 +215,10 @@
         return hasFreeCapacity && election.hasValidLease();
     }
 
-    /** A machine whose first heartbeat under a new leader lists tasks gains nothing by a hold, and its lease runs out. */
+    /**
+     * True for a first heartbeat without tasks. If the first heartbeat under a new leader lists tasks, the machine
+     * has a lease that may expire soon, and a hold would only delay its renewal.
+     */
     private static boolean isFirstWithoutTasks(Machine machine, boolean isFirst) {
         return isFirst && machine.tasks().isEmpty();
     }
--- a/src/main/java/org/spoolline/worker/HeldResponses.java
+++ b/src/main/java/org/spoolline/worker/HeldResponses.java
@@ -8,8 +8,9 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Responses that are held for a moment, at most one per machine, so that they can carry launches which the next
- * scheduling cycle commits. Each is released by the cycle, by a later heartbeat of the machine, or by time.
+ * Holds responses to heartbeats for a short time, so that they can include launches which the next scheduling cycle
+ * commits. There is at most one held response per machine. It is sent when the cycle has committed, when a later
+ * heartbeat of the machine arrives, or after a timeout.
  */
 final class HeldResponses {
     private final EventLoop loop;
@@ -25,18 +26,18 @@
         this.responder = responder;
     }
 
-    /** True when a response to the machine is held. */
+    /** True when a response to this machine is held. */
     boolean contains(String machine) {
         return byMachine.containsKey(machine);
     }
 
-    /** Holds the response; none of its machine may be held already. */
+    /** Holds the response. No other response to the same machine may be held. */
     void hold(PendingResponse pending) {
         byMachine.put(pending.machine().name(), pending);
         loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> release(pending));
     }
 
-    /** Answers the machine's held response, if any, without orders: a later heartbeat has come. */
+    /** Sends the machine's held response, if any, without orders because a later heartbeat has arrived. */
     void answerSuperseded(String machine) {
         PendingResponse superseded = byMachine.remove(machine);
         if (superseded != null) {
@@ -44,14 +45,14 @@
         }
     }
 
-    /** Releases every held response. */
+    /** Sends all held responses. */
     void releaseAll() {
         for (PendingResponse pending : List.copyOf(byMachine.values())) {
             release(pending);
         }
     }
 
-    /** Releases the responses to machines that have attempts to launch. */
+    /** Sends the held responses to machines that have attempts to launch. */
     void releaseWithLaunches() {
         for (PendingResponse pending : List.copyOf(byMachine.values())) {
             if (planner.hasUnreportedAttempt(pending.machine())) {
@@ -60,7 +61,10 @@
         }
     }
 
-    /** Sends the response with orders, or holds it on while a new leader still reads the jobs. */
+    /**
+     * Sends the response with orders, or extends the hold for a limited time while a new leader is still reading the
+     * live jobs.
+     */
     private void release(PendingResponse pending) {
         if (!staleness.hasCompleteView()
                 && loop.now() - pending.receivedAt() < Constants.Heartbeat.RESPONSE_HOLD_UNTIL_LOADED_MS) {
--- a/src/main/java/org/spoolline/worker/LaunchLog.java
+++ b/src/main/java/org/spoolline/worker/LaunchLog.java
@@ -10,7 +10,10 @@
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.AttemptId;
 
-/** Counts and logs the launches that are ordered, each with what allows it: the stored revision and the team's usage. */
+/**
+ * Counts and logs launch orders, each with the stored revision of its job and with the usage and limit of the team,
+ * which permit the launch.
+ */
 final class LaunchLog {
     private static final Logger LOG = LoggerFactory.getLogger(LaunchLog.class);
 
@@ -24,7 +27,7 @@
         this.counters = counters;
     }
 
-    /** A response to the machine's heartbeat orders the launch of a stored attempt. */
+    /** Records that a response to the machine's heartbeat orders the launch of an attempt. */
     void recordLaunch(AttemptId attemptId, String machine) {
         counters.count(Event.LAUNCH_ORDERED);
         JobEntry job = jobs.get(attemptId.jobId());
--- a/src/main/java/org/spoolline/worker/Order.java
+++ b/src/main/java/org/spoolline/worker/Order.java
@@ -2,21 +2,24 @@
 
 import org.spoolline.pipeline.AttemptId;
 
-/** What a worker is to do about one attempt. Orders travel only in responses to heartbeats, so none arrives late. */
+/**
+ * An instruction to a worker about one attempt. Orders are sent only in responses to heartbeats, so that no worker
+ * executes a delayed one.
+ */
 sealed interface Order {
-    /** The attempt that the order is about. */
+    /** The attempt to which the order applies. */
     AttemptId attemptId();
 
-    /** Start the attempt. */
+    /** Starts the attempt. */
     record Launch(AttemptId attemptId) implements Order {}
 
     /**
-     * End the attempt.
+     * Stops the attempt.
      *
-     * @param graceS seconds that it may take to save a checkpoint first; 0 ends it at once
+     * @param graceS seconds that the attempt has to save a checkpoint; 0 stops it immediately
      */
     record Stop(AttemptId attemptId, double graceS) implements Order {}
 
-    /** Stop listing the attempt, whose exit is committed. */
+    /** Makes the worker stop listing an exited attempt in its heartbeats. Sent once the exit is committed. */
     record Clear(AttemptId attemptId) implements Order {}
 }
--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -18,8 +18,9 @@
 
 /**
  * Computes the orders for a machine: the difference between the attempts that are stored for its incarnation and the
- * tasks that its last heartbeat lists. It keeps no state and counts only what is not ordered; whoever sends the orders
- * records them. Runs once per heartbeat, so it uses plain loops.
+ * attempts that its last heartbeat lists. It keeps no state. It counts the launches that it withholds and unexpected
+ * attempts in heartbeats; the caller counts and records the orders that it sends. Runs once per heartbeat, so it uses plain loops
+ * instead of streams.
  */
 final class OrderPlanner {
     private final JobTable jobs;
@@ -34,7 +35,10 @@
         this.counters = counters;
     }
 
-    /** All orders that the machine needs now, stops and clears before launches. Needs a fresh view of the jobs. */
+    /**
+     * All orders that the machine currently needs, stops and clears before launches. The view of the jobs must be
+     * recent enough to launch tasks.
+     */
     List<Order> ordersFor(Machine machine) {
         Map<AttemptId, Attempt> stored = jobs.attemptsOn(machine.name());
         List<Order> orders = new ArrayList<>();
@@ -44,8 +48,8 @@
     }
 
     /**
-     * Stops of the tasks whose jobs are known to be cancelled. These are right however old the view of the jobs is,
-     * since nothing undoes a cancellation.
+     * Stop orders for the attempts of jobs that are known to be cancelled. They are correct even if the view of the
+     * jobs is stale, because a cancellation is never undone.
      */
     List<Order> stopsOfCancelledJobs(Machine machine) {
         List<Order> orders = new ArrayList<>();
@@ -58,7 +62,7 @@
         return orders;
     }
 
-    /** True when an attempt is to run in the machine's incarnation that its last heartbeat does not list. */
+    /** True when the machine's last heartbeat does not list an active attempt that is stored for its incarnation. */
     boolean hasUnreportedAttempt(Machine machine) {
         for (Map.Entry<AttemptId, Attempt> entry :
                 jobs.attemptsOn(machine.name()).entrySet()) {
@@ -69,7 +73,9 @@
         return false;
     }
 
-    /** True when the machine's last heartbeat lists a stored attempt as exited, so that capacity becomes free. */
+    /**
+     * True when the machine's last heartbeat lists a stored attempt as exited, so that its capacity can be released.
+     */
     boolean listsExitOfStoredAttempt(Machine machine) {
         Map<AttemptId, Attempt> stored = jobs.attemptsOn(machine.name());
         for (Map.Entry<AttemptId, TaskStatus> listed : machine.tasks().entrySet()) {
@@ -135,8 +141,9 @@
     }
 
     /**
-     * True while all that the team's attempts take is within its limit, whichever of them run. A leader's own placements keep
-     * that; what it finds stored may not, if the one before ended between two writes.
+     * True while the resources of all active attempts of the team, whether they run yet or not, are within the team's
+     * limit. The placements of the current leader respect the limit. The attempts that its predecessor stored can
+     * exceed it if the predecessor stopped between two writes.
      */
     private boolean isWithinTeamLimit(AttemptId attemptId) {
         boolean within =
@@ -147,7 +154,10 @@
         return within;
     }
 
-    /** A launch was rejected of an attempt that is no longer stored: nothing is left to be done but to clear it. */
+    /**
+     * Counts a rejected launch of an attempt that is no longer stored. Apart from the clear order it needs no further
+     * action.
+     */
     private void countIfLaunchRejected(TaskStatus status) {
         switch (status.exitReason()) {
             case INSUFFICIENT_CAPACITY, ALREADY_RUNNING, UNKNOWN -> counters.count(Event.REJECTED_LAUNCH_NOT_STORED);
@@ -160,7 +170,7 @@
         return job != null && job.isActive(attempt);
     }
 
-    /** The grace in seconds with which a stored attempt is to be stopped; empty when it is to run on. */
+    /** The grace period in seconds with which a stored attempt is to be stopped; empty when it is to continue. */
     private OptionalDouble stopGraceS(AttemptId attemptId, Attempt attempt) {
         JobEntry job = jobs.get(attemptId.jobId());
         if (job == null || job.cancelled() || !job.isActive(attempt)) {
@@ -169,7 +179,7 @@
         return desiredState.graceOf(attemptId);
     }
 
-    /** True when the machine still runs an earlier attempt of the same task. */
+    /** True when the machine's last heartbeat lists another attempt of the same task that has not exited. */
     private static boolean runsOtherAttempt(Machine machine, AttemptId attemptId) {
         for (TaskStatus status : machine.tasks().values()) {
             if (status.task() == attemptId.task()
--- a/src/main/java/org/spoolline/worker/PendingResponse.java
+++ b/src/main/java/org/spoolline/worker/PendingResponse.java
@@ -5,8 +5,8 @@
 import org.spoolline.net.Http;
 
 /**
- * An accepted heartbeat that awaits its one response. Compared by identity: a machine's later heartbeat makes another
- * one.
+ * The response that is still to be sent to an accepted heartbeat. Instances are compared by identity: each heartbeat
+ * of a machine has its own instance.
  */
 final class PendingResponse {
     private final Machine machine;
@@ -15,7 +15,9 @@
     private final long receivedAt;
     private final Consumer<Http.Response> answer;
 
-    /** A response to the machine's last heartbeat, which came at {@code receivedAt} on the loop's clock. */
+    /**
+     * Creates the response to the machine's last heartbeat, received at {@code receivedAt} in ms of the loop's clock.
+     */
     PendingResponse(Machine machine, long receivedAt, Consumer<Http.Response> answer) {
         this.machine = machine;
         this.incarnation = machine.incarnation();
@@ -29,17 +31,20 @@
         return machine;
     }
 
-    /** When the heartbeat came, in ms of the loop's clock. */
+    /** When the heartbeat was received, in ms of the loop's clock. */
     long receivedAt() {
         return receivedAt;
     }
 
-    /** True when no later heartbeat has come since: orders computed from the last one fit this response only then. */
+    /**
+     * True when no later heartbeat of the machine has been accepted since. Only then do orders that are computed from
+     * the machine's last heartbeat apply to this response.
+     */
     boolean answersLastHeartbeat() {
         return machine.incarnation() == incarnation && machine.heartbeatNumber() == heartbeatNumber;
     }
 
-    /** Sends the response; called once. */
+    /** Sends the response; must be called exactly once. */
     void send(Http.Response response) {
         answer.accept(response);
     }
--- a/src/main/java/org/spoolline/worker/package-info.java
+++ b/src/main/java/org/spoolline/worker/package-info.java
@@ -1,2 +1,2 @@
-/** The heartbeat endpoint: lease renewal and orders for workers. */
+/** The heartbeat endpoint, which renews workers' leases and sends orders to workers. */
 package org.spoolline.worker;
