--- a/src/main/java/org/spoolline/job/JobEntry.java
+++ b/src/main/java/org/spoolline/job/JobEntry.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Releases those of the assessed attempts that are committed but missing in {@code nextValue}, and the unlisted
-     * attempts by which its number is lower.
+     * Releases those of the assessed attempts that are committed but missing in {@code nextValue}. Sets the number of
+     * released unlisted attempts to the difference between the numbers in the two values.
      */
     void release(Pipeline nextValue, Collection<Attempt> assessed) {
         for (Attempt attempt : assessed) {
--- a/src/main/java/org/spoolline/worker/HeartbeatRejection.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatRejection.java
@@ -23,8 +23,7 @@
     /** The leader's view of the jobs is older than the staleness bound for lease renewals. */
     STALE_VIEW(Event.HEARTBEAT_STALE_VIEW),
     /**
-     * The machine was terminated while the response was held. The wire form is the same as that of {@link
-     * #STALE_VIEW}.
+     * The machine was terminated while the response was held. Has the same wire form as {@link #STALE_VIEW}.
      */
     TERMINATED_WHILE_HELD(Event.HEARTBEAT_OF_TERMINATED_MACHINE);
 
--- a/src/main/java/org/spoolline/worker/HeartbeatResponseCodec.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponseCodec.java
@@ -8,8 +8,8 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * Encodes all messages to workers: responses to heartbeats, and early-heartbeat requests. Only this class and {@link
- * HeartbeatCodec} know the workers' field names. The order of the fields is part of the wire form.
+ * Encodes all messages to workers: responses to heartbeats, and early-heartbeat requests. Only {@link HeartbeatCodec}
+ * and this class know the workers' field names. The order of the fields is part of the wire form.
  */
 final class HeartbeatResponseCodec {
     private static final String TOKEN = "baton";
--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -19,8 +19,8 @@
 /**
  * Computes the orders for a machine: the difference between the attempts that are stored for its incarnation and the
  * attempts that its last heartbeat lists. It keeps no state. It counts the launches that it withholds and unexpected
- * attempts in heartbeats; the caller counts and records the orders that it sends. Runs once per heartbeat, so it uses plain loops
- * instead of streams.
+ * attempts in heartbeats; the caller counts and records the orders that it sends. Runs once per heartbeat, so it uses
+ * plain loops instead of streams.
  */
 final class OrderPlanner {
     private final JobTable jobs;
--- a/src/test/java/org/spoolline/job/JobTableTest.java
+++ b/src/test/java/org/spoolline/job/JobTableTest.java
@@ -11,7 +11,10 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.SampleSubmissions;
 
-/** What the table counts as used by a team while attempts are decided, written, refused and stored. */
+/**
+ * Checks the resource usage of a team in the table while attempts are released, and while the writes of the release
+ * are in flight, abandoned or committed.
+ */
 class JobTableTest {
     private static final String JOB = "run-000001";
     private static final String TEAM = "red";
@@ -71,7 +74,10 @@
         assertUsageOfAttempts(1);
     }
 
-    /** A user cancels the job meanwhile: the newer value still lists the attempt. */
+    /**
+     * A user cancels the job after the release and before its write. The cancelled value still lists the attempt,
+     * which must stay released.
+     */
     @Test
     void keepsReleaseAfterNewerValueWithAttempt() {
         jobs.release(entry(), withoutFirst(), entry().committed().attempts());
@@ -97,7 +103,10 @@
         assertUsageOfAttempts(2);
     }
 
-    /** Attempts that a cancelled job's value only counts are used until their end is decided. */
+    /**
+     * The value of a cancelled job can contain only the number of its attempts. They count towards the team's usage
+     * until they are released.
+     */
     @Test
     void countsUnlistedAttempts() {
         Pipeline cancelled = entry().committed().copy();
--- a/src/test/java/org/spoolline/reconcile/TerminationProofTest.java
+++ b/src/test/java/org/spoolline/reconcile/TerminationProofTest.java
@@ -10,7 +10,10 @@
 import org.spoolline.cluster.TaskStatus;
 import org.spoolline.pipeline.Attempt;
 
-/** What heartbeats prove, above all when they are copies from before a machine's restart. */
+/**
+ * Checks what heartbeats and lease expiry prove about an attempt, in particular for delayed copies of heartbeats from
+ * before a restart of the machine.
+ */
 class TerminationProofTest {
     private static final long FORMER_TOKEN = 2;
     private static final long CURRENT_TOKEN = 3;
@@ -37,7 +40,10 @@
         return new TaskStatus("run-000011", 4, 1, TaskStatus.Phase.EXITED, TaskStatus.ExitReason.STOPPED, false);
     }
 
-    /** Such a copy once ended a task that was launched anew on the machine: it ran twice. */
+    /**
+     * If a delayed heartbeat from before a restart proved termination, an attempt that was launched after the restart
+     * would be treated as ended and its task would run twice.
+     */
     @Test
     void ignoresLaterIncarnationWithFormerToken() {
         machine.recordResponse(CURRENT_TOKEN, 1_000);
@@ -57,8 +63,9 @@
     }
 
     /**
-     * After an outage the worker counts a new incarnation, and the last answer is older than a lease. The next answer renews
-     * the lease of that incarnation and may launch the attempt: the expiry of the lease before says nothing about it.
+     * After an outage the worker starts a new incarnation, and the last response is older than a lease. The next
+     * response renews the lease of the new incarnation and may launch an attempt in it. The expiry of the previous
+     * lease must not prove that this attempt has ended.
      */
     @Test
     void earlierLeaseExpiryDoesNotEndNewIncarnation() {
@@ -73,7 +80,7 @@
         assertEquals(
                 TerminationProof.AttemptState.TERMINATED,
                 terminationProof.assess("run-000011", ATTEMPT, machine, 20_500).state());
-        // Unanswered for a lease, that incarnation has ended too.
+        // Without a response for the duration of a lease, the new incarnation has ended too.
         assertEquals(
                 TerminationProof.AttemptState.TERMINATED,
                 terminationProof
@@ -81,7 +88,10 @@
                         .state());
     }
 
-    /** The attempt ran before a restart, in a later incarnation than the present one: it once stayed for ever. */
+    /**
+     * A restart resets the machine's incarnation number, so the attempt has a higher incarnation than the current
+     * one. If this proved nothing, the attempt would count as running forever.
+     */
     @Test
     void earlierIncarnationAfterRestartProvesTermination() {
         machine.recordResponse(CURRENT_TOKEN, 1_000);
--- a/src/test/java/org/spoolline/worker/HeartbeatCodecTest.java
+++ b/src/test/java/org/spoolline/worker/HeartbeatCodecTest.java
@@ -12,12 +12,12 @@
 import org.spoolline.cluster.Heartbeat;
 import org.spoolline.cluster.TaskStatus;
 
-/** The wire form of heartbeats: what each field becomes, and which bytes are no heartbeat at all. */
+/** Checks how each field of a heartbeat is decoded, and which bodies are rejected as malformed. */
 class HeartbeatCodecTest {
     private static final String MACHINE = "\"spooler\":\"m-1\",\"addr\":\"m-1:9\",\"build\":\"small\",\"yard\":\"a\"";
     private static final String INCARNATION_NUMBER_TOKEN = "\"shift\":2,\"tick\":3,\"baton\":4";
 
-    /** The heartbeat, or null when it is none. */
+    /** The decoded heartbeat, or null when the body is rejected. */
     private static Heartbeat decode(String body) {
         return HeartbeatCodec.decode(body.getBytes(StandardCharsets.UTF_8)).orElse(null);
     }
@@ -90,7 +90,7 @@
                         .interruptionNoticeS());
     }
 
-    /** A later field of a name replaces an earlier one; lists of tasks add up. */
+    /** The last value of a repeated field is used, while repeated task lists are concatenated. */
     @Test
     void decodesRepeatedFields() {
         String task = "{\"slip\":\"run-1/0\",\"try\":1,\"status\":\"running\"}";
@@ -179,7 +179,10 @@
         }
     }
 
-    /** An object where a plain value belongs ends the heartbeat early; it counts if all it needs came before. */
+    /**
+     * An object or array in place of a scalar ends the decoding. The heartbeat is accepted if all required fields
+     * precede it.
+     */
     @Test
     void stopsDecodingAtNonScalarValue() {
         assertNull(decode("{\"addr\":{}," + MACHINE + "," + INCARNATION_NUMBER_TOKEN + "}"));
--- a/src/test/java/org/spoolline/worker/HeartbeatResponseCodecTest.java
+++ b/src/test/java/org/spoolline/worker/HeartbeatResponseCodecTest.java
@@ -10,7 +10,7 @@
 import org.spoolline.net.Http;
 import org.spoolline.pipeline.AttemptId;
 
-/** The exact bytes that workers are sent, with their fields in order. */
+/** Checks the exact bytes of the messages to workers, including the order of their fields. */
 class HeartbeatResponseCodecTest {
     private static final AttemptId ATTEMPT = new AttemptId("run-1", 7, 8);
 
--- a/src/test/java/org/spoolline/worker/OrderPlannerTest.java
+++ b/src/test/java/org/spoolline/worker/OrderPlannerTest.java
@@ -25,13 +25,16 @@
 import org.spoolline.reconcile.DesiredState;
 import org.spoolline.simulation.Simulation;
 
-/** The orders for a machine by what is stored, what its heartbeat lists, and what the leader has decided since. */
+/**
+ * Checks the orders for a machine that follow from the stored attempts, the attempts in its last heartbeat, and the
+ * attempts that the leader has released.
+ */
 class OrderPlannerTest {
     private static final String JOB = "run-000001";
     private static final Attempt ATTEMPT = new Attempt(0, 1, "m", 1);
     private static final AttemptId ATTEMPT_ID = AttemptId.of(JOB, ATTEMPT);
 
-    /** The red team may use 32 cores. */
+    /** The limit of team red is 32 cores. */
     private static final Settings SETTINGS = new Simulation(1).settings("node-0");
 
     private final JobTable jobs = new JobTable();
@@ -40,7 +43,7 @@
     private final OrderPlanner planner =
             new OrderPlanner(jobs, new TeamQuotas(SETTINGS, jobs), new LaunchAllStopNone(), counters);
 
-    /** Nothing is to be stopped and everything may be launched. */
+    /** Permits the launch of all attempts and requests no stops. */
     private static final class LaunchAllStopNone implements DesiredState {
         @Override
         public OptionalDouble graceOf(AttemptId attempt) {
@@ -85,14 +88,20 @@
         assertEquals(List.of(new Order.Launch(ATTEMPT_ID)), planner.ordersFor(machine));
     }
 
-    /** The smallest form of the incident's second fault. */
+    /**
+     * A release whose write is not stored yet must prevent the launch, because the capacity of the attempt may
+     * already be assigned to another task.
+     */
     @Test
     void doesNotLaunchReleasedAttempt() {
         release();
         assertEquals(List.of(), planner.ordersFor(machine));
     }
 
-    /** Such a heartbeat can only be a late one, or the proof was wrong: the task must not run on either way. */
+    /**
+     * A machine lists a released attempt only if its heartbeat is a delayed one or the termination proof was wrong.
+     * In both cases the task must not continue to run.
+     */
     @Test
     void stopsListedReleasedAttempt() {
         release();
@@ -101,7 +110,10 @@
         assertEquals(1, counters.of(Event.HEARTBEAT_LISTED_RELEASED_ATTEMPT));
     }
 
-    /** It is cleared only once the end is stored: cleared before, a repeated launch would start it again. */
+    /**
+     * The clear order must wait until the release is stored. After an earlier clear, a repeated launch order would
+     * start the attempt again.
+     */
     @Test
     void doesNotClearExitedAttemptBeforeReleaseIsStored() {
         release();
@@ -117,7 +129,10 @@
         assertEquals(1, counters.of(Event.REJECTED_LAUNCH_NOT_STORED));
     }
 
-    /** Another stored attempt of 20 cores exceeds the team's limit of 32: neither is launched, and a listed one runs on. */
+    /**
+     * A second stored attempt of 20 cores makes the team exceed its limit of 32 cores. Neither attempt may be
+     * launched, but an attempt that already runs continues.
+     */
     @Test
     void withholdsLaunchesWhileTeamExceedsLimit() {
         store("run-000002", new Attempt(0, 1, "m-2", 1));
