--- a/src/main/java/org/spoolline/job/JobReader.java
+++ b/src/main/java/org/spoolline/job/JobReader.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Reads the terminal record. Its request exceeds the rate limit if necessary and is charged to later requests,
-     * because a rejected read would have to be repeated from the live value on.
+     * Reads the terminal record. Charges the request to the rate limits, into debt if necessary, because a read that
+     * was rejected at this point would have to start again with the live value.
      */
     private void readTerminalRecord(String jobId, Consumer<StoredJob> onRead, Consumer<Failure> onFailure) {
         store.acquireWithDebt(0);
--- a/src/main/java/org/spoolline/worker/HeartbeatRejection.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatRejection.java
@@ -18,7 +18,10 @@
      * newer leader.
      */
     LEADER_PROBE(Event.HEARTBEAT_LEADER_PROBE),
-    /** The heartbeat is older than one already received. The worker no longer waits for this response. */
+    /**
+     * The heartbeat is not newer than the last accepted one, for example a delayed copy. The worker no longer waits
+     * for this response.
+     */
     STALE_HEARTBEAT(Event.HEARTBEAT_STALE),
     /** The leader's view of the jobs is older than the staleness bound for lease renewals. */
     STALE_VIEW(Event.HEARTBEAT_STALE_VIEW),
