--- a/src/main/java/org/spoolline/reconcile/GangReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/GangReconciler.java
@@ -7,7 +7,10 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 
-/** Stops gangs as a whole: a gang that has lost a member can't continue, and one member is not stopped alone. */
+/**
+ * Stops gangs as a whole. A gang that has lost a member can't continue, and a single member is never stopped without
+ * the others.
+ */
 final class GangReconciler {
     private final EventLoop loop;
     private final MachineRegistry machines;
@@ -24,11 +27,15 @@
         this.orders = orders;
     }
 
-    /** Stops all members of a broken or stopping gang; it starts again once each one is proven to have terminated. */
+    /**
+     * Requests the stop of all members if the gang has lost a member after its start or if the stop of any member is
+     * requested. The gang is placed again once all members are proven to have terminated; those that are proven
+     * absent from their machines are removed here.
+     */
     void reconcile(DraftPipeline draft, TerminationProof proof) {
         Pipeline gang = draft.current();
-        boolean broken = broken(gang);
-        if (!broken && !stopping(gang)) {
+        boolean broken = isBroken(gang);
+        if (!broken && !isStopping(gang)) {
             return;
         }
         double graceS = broken ? 0 : gang.spec().stopGraceS();
@@ -38,17 +45,20 @@
             TerminationProof.Assessment assessment =
                     proof.assess(gang.jobId(), attempt, machines.get(attempt.machine()), loop.now());
             if (assessment.state() == TerminationProof.AttemptState.ABSENT) {
-                draft.forChange().loseAttempt(attempt);
+                draft.mutableCopy().loseAttempt(attempt);
             }
         }
     }
 
-    /** Before the start, the other members may wait for a replacement under the same attempt number. */
-    private boolean broken(Pipeline gang) {
-        return gang.attempts().size() < gang.spec().tasks() && started(gang);
+    /**
+     * True when the gang has started and lacks a member. Before the start the other members can wait for a
+     * replacement, which gets the same attempt number.
+     */
+    private boolean isBroken(Pipeline gang) {
+        return gang.attempts().size() < gang.spec().tasks() && hasStarted(gang);
     }
 
-    private boolean started(Pipeline gang) {
+    private boolean hasStarted(Pipeline gang) {
         for (Attempt attempt : gang.attempts()) {
             switch (phases.lastReported(gang.jobId(), attempt)) {
                 case FETCHING_IMAGE, WAITING_FOR_GANG -> {}
@@ -60,7 +70,7 @@
         return false;
     }
 
-    private boolean stopping(Pipeline gang) {
+    private boolean isStopping(Pipeline gang) {
         for (Attempt attempt : gang.attempts()) {
             if (stops.contains(AttemptId.of(gang.jobId(), attempt))) {
                 return true;
--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -18,8 +18,9 @@
 
 /**
  * Computes the orders for a machine: the difference between the attempts that are stored for its incarnation and the
- * tasks that its last heartbeat lists. It keeps no state and counts only what is not ordered; whoever sends the orders
- * records them. Runs once per heartbeat, so it uses plain loops.
+ * attempts that its last heartbeat lists. It keeps no state. It counts the launches that it withholds and unexpected
+ * attempts in heartbeats; the caller counts and records the orders that it sends. Runs once per heartbeat, so it uses
+ * plain loops instead of streams.
  */
 final class OrderPlanner {
     private final JobTable jobs;
@@ -34,7 +35,10 @@
         this.counters = counters;
     }
 
-    /** All orders that the machine needs now, stops and clears before launches. Needs a fresh view of the jobs. */
+    /**
+     * All orders that the machine currently needs, stops and clears before launches. The view of the jobs must be
+     * recent enough to launch tasks.
+     */
     List<Order> ordersFor(Machine machine) {
         Map<AttemptId, Attempt> stored = jobs.attemptsOn(machine.name());
         List<Order> orders = new ArrayList<>();
@@ -44,8 +48,8 @@
     }
 
     /**
-     * Stops of the tasks whose jobs are known to be cancelled. These are right however old the view of the jobs is,
-     * since nothing undoes a cancellation.
+     * Stop orders for the attempts of jobs that are known to be cancelled. They are correct even if the view of the
+     * jobs is stale, because a cancellation is never undone.
      */
     List<Order> stopsOfCancelledJobs(Machine machine) {
         List<Order> orders = new ArrayList<>();
@@ -58,18 +62,20 @@
         return orders;
     }
 
-    /** True when an attempt is to run in the machine's incarnation that its last heartbeat does not list. */
-    boolean hasUnlistedAttempt(Machine machine) {
+    /** True when the machine's last heartbeat does not list an active attempt that is stored for its incarnation. */
+    boolean hasUnreportedAttempt(Machine machine) {
         for (Map.Entry<AttemptId, Attempt> entry :
                 jobs.attemptsOn(machine.name()).entrySet()) {
-            if (isUnlisted(machine, entry.getKey(), entry.getValue()) && isHeld(entry.getKey(), entry.getValue())) {
+            if (isUnreported(machine, entry.getKey(), entry.getValue()) && isActive(entry.getKey(), entry.getValue())) {
                 return true;
             }
         }
         return false;
     }
 
-    /** True when the machine's last heartbeat lists a stored attempt as exited, so that capacity becomes free. */
+    /**
+     * True when the machine's last heartbeat lists a stored attempt as exited, so that its capacity can be released.
+     */
     boolean listsExitOfStoredAttempt(Machine machine) {
         Map<AttemptId, Attempt> stored = jobs.attemptsOn(machine.name());
         for (Map.Entry<AttemptId, TaskStatus> listed : machine.tasks().entrySet()) {
@@ -88,12 +94,12 @@
             boolean isStored = attempt != null && attempt.incarnation() == machine.incarnation();
             if (phase == TaskStatus.Phase.EXITED) {
                 if (!isStored) {
-                    countIfRejected(listed.getValue());
+                    countIfLaunchRejected(listed.getValue());
                     orders.add(new Order.Clear(attemptId));
                 }
                 continue;
             }
-            if (isStored && !isHeld(attemptId, attempt)) {
+            if (isStored && !isActive(attemptId, attempt)) {
                 counters.count(Event.HEARTBEAT_LISTED_RELEASED_ATTEMPT);
             }
             OptionalDouble graceS = isStored ? stopGraceS(attemptId, attempt) : OptionalDouble.of(0);
@@ -111,7 +117,7 @@
         for (Map.Entry<AttemptId, Attempt> entry : stored.entrySet()) {
             AttemptId attemptId = entry.getKey();
             if (orders.size() < Constants.Heartbeat.MAX_ORDERS
-                    && isUnlisted(machine, attemptId, entry.getValue())
+                    && isUnreported(machine, attemptId, entry.getValue())
                     && stopGraceS(attemptId, entry.getValue()).isEmpty()
                     && mayLaunch(attemptId)
                     && isWithinTeamLimit(attemptId)
@@ -121,22 +127,23 @@
         }
     }
 
-    private static boolean isUnlisted(Machine machine, AttemptId attemptId, Attempt attempt) {
+    private static boolean isUnreported(Machine machine, AttemptId attemptId, Attempt attempt) {
         return attempt.incarnation() == machine.incarnation()
                 && !machine.tasks().containsKey(attemptId);
     }
 
     private boolean mayLaunch(AttemptId attemptId) {
-        boolean may = desiredState.mayLaunch(attemptId);
-        if (!may) {
+        boolean allowed = desiredState.mayLaunch(attemptId);
+        if (!allowed) {
             counters.count(Event.LAUNCH_WITHHELD_GANG_FETCHING);
         }
-        return may;
+        return allowed;
     }
 
     /**
-     * True while all that the team's attempts take is within its limit, whichever of them run. A leader's own placements keep
-     * that; what it finds stored may not, if the one before ended between two writes.
+     * True while the resources of all active attempts of the team, whether they run yet or not, are within the team's
+     * limit. The placements of the current leader respect the limit. The attempts that its predecessor stored can
+     * exceed it if the predecessor stopped between two writes.
      */
     private boolean isWithinTeamLimit(AttemptId attemptId) {
         boolean within =
@@ -147,29 +154,32 @@
         return within;
     }
 
-    /** A launch was rejected of an attempt that is no longer stored: nothing is left to be done but to clear it. */
-    private void countIfRejected(TaskStatus status) {
+    /**
+     * Counts a rejected launch of an attempt that is no longer stored. Apart from the clear order it needs no further
+     * action.
+     */
+    private void countIfLaunchRejected(TaskStatus status) {
         switch (status.exitReason()) {
             case INSUFFICIENT_CAPACITY, ALREADY_RUNNING, UNKNOWN -> counters.count(Event.REJECTED_LAUNCH_NOT_STORED);
             default -> {}
         }
     }
 
-    private boolean isHeld(AttemptId attemptId, Attempt attempt) {
+    private boolean isActive(AttemptId attemptId, Attempt attempt) {
         JobEntry job = jobs.get(attemptId.jobId());
-        return job != null && job.holdsAttempt(attempt);
+        return job != null && job.isActive(attempt);
     }
 
-    /** The grace in seconds with which a stored attempt is to be stopped; empty when it is to run on. */
+    /** The grace period in seconds with which a stored attempt is to be stopped; empty when it is to continue. */
     private OptionalDouble stopGraceS(AttemptId attemptId, Attempt attempt) {
         JobEntry job = jobs.get(attemptId.jobId());
-        if (job == null || job.cancelled() || !job.holdsAttempt(attempt)) {
+        if (job == null || job.cancelled() || !job.isActive(attempt)) {
             return OptionalDouble.of(0);
         }
         return desiredState.graceOf(attemptId);
     }
 
-    /** True when the machine still runs an earlier attempt of the same task. */
+    /** True when the machine's last heartbeat lists another attempt of the same task that has not exited. */
     private static boolean runsOtherAttempt(Machine machine, AttemptId attemptId) {
         for (TaskStatus status : machine.tasks().values()) {
             if (status.task() == attemptId.task()
