--- a/src/main/java/org/spoolline/pipeline/AttemptsCodec.java
+++ b/src/main/java/org/spoolline/pipeline/AttemptsCodec.java
@@ -33,38 +33,38 @@
     private static final int SECTION_PREFIX = 0;
 
     private static final int SECTION_DIGITS = 1;
-    private static final int SECTION_PLACES = 2;
+    private static final int SECTION_PLACEMENTS = 2;
     private static final int SECTION_BITS = 3;
 
     /** What attempts on one machine share; the machine's name is kept beside its parts to be hashed cheaply. */
-    private record Place(MachineName name, String machine, long incarnation, long number) {
-        static Place of(Attempt attempt) {
-            return new Place(
+    private record Placement(MachineName machineName, String machine, long incarnation, long number) {
+        static Placement of(Attempt attempt) {
+            return new Placement(
                     MachineName.parse(attempt.machine()), attempt.machine(), attempt.incarnation(), attempt.number());
         }
 
         /** Written out, see {@link Attempt#equals}. */
         @Override
         public boolean equals(Object other) {
-            return other instanceof Place place
-                    && incarnation == place.incarnation
-                    && number == place.number
-                    && name.equals(place.name);
+            return other instanceof Placement placement
+                    && incarnation == placement.incarnation
+                    && number == placement.number
+                    && machineName.equals(placement.machineName);
         }
 
         @Override
         public int hashCode() {
-            return ((name.hashCode() * 31 + machine.hashCode()) * 31 + Long.hashCode(incarnation)) * 31
+            return ((machineName.hashCode() * 31 + machine.hashCode()) * 31 + Long.hashCode(incarnation)) * 31
                     + Long.hashCode(number);
         }
     }
 
-    private static final Comparator<Place> PLACE_ORDER = Comparator.comparing(
-                    (Place place) -> place.name().prefix())
-            .thenComparingInt(place -> place.name().digits())
-            .thenComparingInt(place -> place.name().number())
-            .thenComparingLong(Place::incarnation)
-            .thenComparingLong(Place::number);
+    private static final Comparator<Placement> PLACEMENT_ORDER = Comparator.comparing(
+                    (Placement placement) -> placement.machineName().prefix())
+            .thenComparingInt(placement -> placement.machineName().digits())
+            .thenComparingInt(placement -> placement.machineName().number())
+            .thenComparingLong(Placement::incarnation)
+            .thenComparingLong(Placement::number);
 
     private AttemptsCodec() {}
 
@@ -77,64 +77,65 @@
     static ArrayNode encode(Collection<Attempt> attempts, long highestNumber) {
         List<Attempt> byTask = new ArrayList<>(attempts);
         byTask.sort(Comparator.comparingInt(Attempt::task));
-        List<Place> placeOfEach = new ArrayList<>(byTask.size());
-        Map<Place, Integer> indexes = new HashMap<>();
+        List<Placement> placementPerAttempt = new ArrayList<>(byTask.size());
+        Map<Placement, Integer> placementIndexes = new HashMap<>();
         for (Attempt attempt : byTask) {
-            Place place = Place.of(attempt);
-            placeOfEach.add(place);
-            indexes.put(place, 0);
+            Placement placement = Placement.of(attempt);
+            placementPerAttempt.add(placement);
+            placementIndexes.put(placement, 0);
         }
-        List<Place> places = new ArrayList<>(indexes.keySet());
-        places.sort(PLACE_ORDER);
-        for (int index = 0; index < places.size(); index++) {
-            indexes.put(places.get(index), index);
+        List<Placement> placements = new ArrayList<>(placementIndexes.keySet());
+        placements.sort(PLACEMENT_ORDER);
+        for (int index = 0; index < placements.size(); index++) {
+            placementIndexes.put(placements.get(index), index);
         }
         ArrayNode stored = Json.array();
-        encodeSections(places, highestNumber, stored);
-        stored.add(byTask.size()).add(encodeTasks(byTask, placeOfEach, indexes));
+        encodeSections(placements, highestNumber, stored);
+        stored.add(byTask.size()).add(encodeTasks(byTask, placementPerAttempt, placementIndexes));
         return stored;
     }
 
-    private static void encodeSections(List<Place> places, long highestNumber, ArrayNode stored) {
+    private static void encodeSections(List<Placement> placements, long highestNumber, ArrayNode stored) {
         int start = 0;
-        while (start < places.size()) {
-            MachineName first = places.get(start).name();
+        while (start < placements.size()) {
+            MachineName first = placements.get(start).machineName();
             int end = start;
-            while (end < places.size() && places.get(end).name().isAlike(first)) {
+            while (end < placements.size() && placements.get(end).machineName().hasSamePattern(first)) {
                 end++;
             }
             stored.addArray()
                     .add(first.prefix())
                     .add(first.digits())
                     .add(end - start)
-                    .add(encodePlaces(places.subList(start, end), highestNumber));
+                    .add(encodePlacements(placements.subList(start, end), highestNumber));
             start = end;
         }
     }
 
-    private static String encodePlaces(List<Place> section, long highestNumber) {
+    private static String encodePlacements(List<Placement> section, long highestNumber) {
         BitWriter bits = new BitWriter();
-        int previous = 0;
-        for (Place place : section) {
-            int machine = place.name().number();
-            bits.writeNumber(machine - previous);
-            bits.writeNumber(place.incarnation() - 1);
-            bits.writeNumber(highestNumber - place.number());
-            previous = machine;
+        int previousMachineNumber = 0;
+        for (Placement placement : section) {
+            int machineNumber = placement.machineName().number();
+            bits.writeNumber(machineNumber - previousMachineNumber);
+            bits.writeNumber(placement.incarnation() - 1);
+            bits.writeNumber(highestNumber - placement.number());
+            previousMachineNumber = machineNumber;
         }
         return bits.toBase64();
     }
 
-    private static String encodeTasks(List<Attempt> byTask, List<Place> placeOfEach, Map<Place, Integer> indexes) {
+    private static String encodeTasks(
+            List<Attempt> byTask, List<Placement> placementPerAttempt, Map<Placement, Integer> placementIndexes) {
         BitWriter bits = new BitWriter();
-        int indexWidth = indexWidth(indexes.size());
-        int nextTask = 0;
+        int indexWidth = indexWidth(placementIndexes.size());
+        int expectedTask = 0;
         int previousIndex = -1;
         for (int i = 0; i < byTask.size(); i++) {
             int task = byTask.get(i).task();
-            bits.writeNumber(task - nextTask);
-            nextTask = task + 1;
-            int index = indexes.get(placeOfEach.get(i));
+            bits.writeNumber(task - expectedTask);
+            expectedTask = task + 1;
+            int index = placementIndexes.get(placementPerAttempt.get(i));
             bits.writeBit(index == previousIndex);
             if (index != previousIndex) {
                 bits.writeBits(index, indexWidth);
@@ -151,47 +152,47 @@
      * @param consumer      is given each attempt, in the order of tasks
      */
     static void decode(JsonNode stored, long highestNumber, Consumer<Attempt> consumer) {
-        List<Attempt> places = new ArrayList<>();
+        List<Attempt> placements = new ArrayList<>();
         int sections = 0;
         while (stored.path(sections).isArray()) {
-            decodePlaces(stored.path(sections), highestNumber, places);
+            decodePlacements(stored.path(sections), highestNumber, placements);
             sections++;
         }
         int count = stored.path(sections).asInt();
         BitReader bits = new BitReader(stored.path(sections + 1).asText());
-        decodeTasks(bits, count, places, consumer);
+        decodeTasks(bits, count, placements, consumer);
     }
 
     /** Adds the section's places, each as the attempt of task 0. */
-    private static void decodePlaces(JsonNode section, long highestNumber, List<Attempt> places) {
+    private static void decodePlacements(JsonNode section, long highestNumber, List<Attempt> placements) {
         String prefix = section.path(SECTION_PREFIX).asText();
         int digits = section.path(SECTION_DIGITS).asInt();
         BitReader bits = new BitReader(section.path(SECTION_BITS).asText());
-        long machine = 0;
-        for (int left = section.path(SECTION_PLACES).asInt(); left > 0; left--) {
-            machine += bits.readNumber();
+        long machineNumber = 0;
+        for (int remaining = section.path(SECTION_PLACEMENTS).asInt(); remaining > 0; remaining--) {
+            machineNumber += bits.readNumber();
             long incarnation = bits.readNumber() + 1;
             long number = highestNumber - bits.readNumber();
-            places.add(new Attempt(0, number, MachineName.format(prefix, digits, machine), incarnation));
+            placements.add(new Attempt(0, number, MachineName.format(prefix, digits, machineNumber), incarnation));
         }
     }
 
-    private static void decodeTasks(BitReader bits, int count, List<Attempt> places, Consumer<Attempt> consumer) {
-        int indexWidth = indexWidth(places.size());
+    private static void decodeTasks(BitReader bits, int count, List<Attempt> placements, Consumer<Attempt> consumer) {
+        int indexWidth = indexWidth(placements.size());
         int task = 0;
-        Attempt place = null;
-        for (int left = count; left > 0; left--) {
+        Attempt placement = null;
+        for (int remaining = count; remaining > 0; remaining--) {
             task += (int) bits.readNumber();
             if (!bits.readBit()) {
-                place = places.get((int) bits.readBits(indexWidth));
+                placement = placements.get((int) bits.readBits(indexWidth));
             }
-            consumer.accept(new Attempt(task, place.number(), place.machine(), place.incarnation()));
+            consumer.accept(new Attempt(task, placement.number(), placement.machine(), placement.incarnation()));
             task++;
         }
     }
 
     /** Bits that tell so many places apart. */
-    private static int indexWidth(int places) {
-        return Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(0, places - 1));
+    private static int indexWidth(int placements) {
+        return Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(0, placements - 1));
     }
 }
--- a/src/main/java/org/spoolline/pipeline/CekkMachine.java
+++ b/src/main/java/org/spoolline/pipeline/CekkMachine.java
@@ -30,7 +30,7 @@
     }
 
     /** Whether, and how, a whole pipeline has ended. */
-    public enum End {
+    public enum PipelineStatus {
         RUNNING,
         SUCCEEDED,
         FAILED
@@ -41,21 +41,24 @@
      *
      * @param branches the live branches, each of which waits for an activity
      * @param statuses the environment: how activities and joins have ended, in the order of their ends
-     * @param joined   of each join, the number of its branches that have come to it
+     * @param arrivedBranches of each join, the number of its branches that have come to it
      * @param failing  true once a failure found no way left; no branch goes on then, each ends as its activity does
      */
     public record State(
-            List<Branch> branches, Map<String, Status> statuses, Map<String, Integer> joined, boolean failing) {
+            List<Branch> branches,
+            Map<String, Status> statuses,
+            Map<String, Integer> arrivedBranches,
+            boolean failing) {
         /** How the pipeline has ended, or that it hasn't. */
-        public End end() {
+        public PipelineStatus pipelineStatus() {
             if (!branches.isEmpty()) {
-                return End.RUNNING;
+                return PipelineStatus.RUNNING;
             }
-            return failing ? End.FAILED : End.SUCCEEDED;
+            return failing ? PipelineStatus.FAILED : PipelineStatus.SUCCEEDED;
         }
 
         /** Names of the activities that should run now, in the order of the branches. */
-        public List<String> active() {
+        public List<String> awaitedActivities() {
             return branches.stream()
                     .flatMap(branch -> branch.awaitedActivity().stream())
                     .toList();
@@ -64,14 +67,14 @@
 
     private final List<Branch> branches;
     private final Map<String, Status> statuses;
-    private final Map<String, Integer> joined;
+    private final Map<String, Integer> arrivedBranches;
     private boolean failing;
 
-    private CekkMachine(State from) {
-        branches = new ArrayList<>(from.branches());
-        statuses = new LinkedHashMap<>(from.statuses());
-        joined = new LinkedHashMap<>(from.joined());
-        failing = from.failing();
+    private CekkMachine(State state) {
+        branches = new ArrayList<>(state.branches());
+        statuses = new LinkedHashMap<>(state.statuses());
+        arrivedBranches = new LinkedHashMap<>(state.arrivedBranches());
+        failing = state.failing();
     }
 
     /** A new pipeline, stepped until every branch waits for an activity. */
@@ -89,7 +92,7 @@
     /** Rule A2: the activity's success pops the success stack. An activity that no branch waits for changes nothing. */
     public static State succeeded(State state, String activity) {
         CekkMachine machine = new CekkMachine(state);
-        Optional<Branch> branch = machine.removeBranch(activity);
+        Optional<Branch> branch = machine.removeBranchAwaiting(activity);
         if (branch.isEmpty()) {
             return state;
         }
@@ -103,7 +106,7 @@
     /** Rule A3: the activity's failure applies the failure stack. An activity that no branch waits for changes nothing. */
     public static State failed(State state, String activity) {
         CekkMachine machine = new CekkMachine(state);
-        Optional<Branch> branch = machine.removeBranch(activity);
+        Optional<Branch> branch = machine.removeBranchAwaiting(activity);
         if (branch.isEmpty()) {
             return state;
         }
@@ -128,26 +131,26 @@
     }
 
     private void cancelDependents(Branch branch) {
-        branch.success().frames().forEach(this::cancel);
+        branch.success().frames().forEach(this::cancelActivities);
     }
 
-    private void cancel(Flow flow) {
+    private void cancelActivities(Flow flow) {
         if (flow instanceof Flow.Activity activity) {
             statuses.putIfAbsent(activity.name(), Status.CANCELLED);
         } else if (flow instanceof Flow.Seq seq) {
-            seq.flows().forEach(this::cancel);
+            seq.flows().forEach(this::cancelActivities);
         } else if (flow instanceof Flow.Fork fork) {
-            fork.flows().forEach(this::cancel);
+            fork.flows().forEach(this::cancelActivities);
         } else if (flow instanceof Flow.Or or) {
-            or.flows().forEach(this::cancel);
+            or.flows().forEach(this::cancelActivities);
         } else if (flow instanceof Flow.OrClosure closure) {
-            cancel(closure.rest());
+            cancelActivities(closure.remaining());
         }
     }
 
     /** Steps a branch until it waits for an activity, has joined others, or has ended. */
-    private void enact(Branch start) {
-        Optional<Branch> branch = Optional.of(start);
+    private void enact(Branch initial) {
+        Optional<Branch> branch = Optional.of(initial);
         while (branch.isPresent()) {
             branch = step(branch.get());
         }
@@ -203,18 +206,18 @@
      * always left with all of its alternatives, the tried one moved to the end.
      */
     private static Branch tryNextAlternative(Flow.OrClosure closure) {
-        List<Flow> flows = closure.rest().flows();
+        List<Flow> flows = closure.remaining().flows();
         Flow first = flows.get(0);
-        List<Flow> left = new ArrayList<>(flows.subList(1, flows.size()));
+        List<Flow> remaining = new ArrayList<>(flows.subList(1, flows.size()));
         if (closure.endless()) {
-            left.add(first);
+            remaining.add(first);
         }
-        if (left.isEmpty()) {
+        if (remaining.isEmpty()) {
             return new Branch(first, closure.success(), closure.failure());
         }
-        Flow next = new Flow.OrClosure(
-                new Flow.Or(List.copyOf(left)), closure.success(), closure.failure(), closure.endless());
-        return new Branch(first, closure.success(), new ContinuationStack(List.of(next)));
+        Flow remainingClosure = new Flow.OrClosure(
+                new Flow.Or(List.copyOf(remaining)), closure.success(), closure.failure(), closure.endless());
+        return new Branch(first, closure.success(), new ContinuationStack(List.of(remainingClosure)));
     }
 
     /** Rule F1: each flow is enacted as a branch of its own, with the join of them all pushed on its success stack. */
@@ -223,17 +226,17 @@
         if (flows.isEmpty()) {
             return Optional.of(new Branch(Flow.EMPTY, branch.success(), branch.failure()));
         }
-        ContinuationStack joining = branch.success().push(new Flow.Join(fork.join(), flows.size()));
+        ContinuationStack successWithJoin = branch.success().push(new Flow.Join(fork.join(), flows.size()));
         for (Flow flow : flows) {
-            enact(new Branch(flow, joining, branch.failure()));
+            enact(new Branch(flow, successWithJoin, branch.failure()));
         }
         return Optional.empty();
     }
 
     /** Rule J2: branches end at the join, but for the last one to come, which goes on for all. */
     private Optional<Branch> join(Flow.Join join, Branch branch) {
-        int come = joined.merge(join.name(), 1, Integer::sum);
-        if (come < join.needed()) {
+        int arrived = arrivedBranches.merge(join.name(), 1, Integer::sum);
+        if (arrived < join.expectedBranches()) {
             return Optional.empty();
         }
         statuses.put(join.name(), Status.SUCCEEDED);
@@ -241,7 +244,7 @@
     }
 
     /** Removes the branch that waits for the activity, if there is one. */
-    private Optional<Branch> removeBranch(String activity) {
+    private Optional<Branch> removeBranchAwaiting(String activity) {
         for (int i = 0; i < branches.size(); i++) {
             if (branches.get(i).control() instanceof Flow.Activity awaited
                     && awaited.name().equals(activity)) {
@@ -255,7 +258,7 @@
         return new State(
                 List.copyOf(branches),
                 Collections.unmodifiableMap(statuses),
-                Collections.unmodifiableMap(joined),
+                Collections.unmodifiableMap(arrivedBranches),
                 failing);
     }
 }
--- a/src/main/java/org/spoolline/pipeline/CheckpointPolicy.java
+++ b/src/main/java/org/spoolline/pipeline/CheckpointPolicy.java
@@ -21,7 +21,7 @@
     }
 
     /** Seconds of run time that are lost when a task is stopped without grace after so many. */
-    public double workSinceCheckpointS(double ranS) {
-        return isEnabled() ? ranS % intervalS : ranS;
+    public double workSinceCheckpointS(double runTimeS) {
+        return isEnabled() ? runTimeS % intervalS : runTimeS;
     }
 }
--- a/src/main/java/org/spoolline/pipeline/ContinuationStackCodec.java
+++ b/src/main/java/org/spoolline/pipeline/ContinuationStackCodec.java
@@ -18,7 +18,7 @@
     /** The environment: of each activity or join that has ended, its status by the first letter. */
     private static final String STATUSES = "e";
 
-    private static final String JOINED = "j";
+    private static final String ARRIVED_BRANCHES = "j";
     private static final String FAILING = "f";
 
     private static final String ACTIVITY = "a";
@@ -46,9 +46,9 @@
             state.statuses()
                     .forEach((name, status) -> statuses.put(name, status.name().substring(0, 1)));
         }
-        if (!state.joined().isEmpty()) {
-            ObjectNode joined = node.putObject(JOINED);
-            state.joined().forEach(joined::put);
+        if (!state.arrivedBranches().isEmpty()) {
+            ObjectNode arrivedBranches = node.putObject(ARRIVED_BRANCHES);
+            state.arrivedBranches().forEach(arrivedBranches::put);
         }
         if (state.failing()) {
             node.put(FAILING, true);
@@ -68,12 +68,13 @@
                 .properties()
                 .forEach(entry -> statuses.put(
                         entry.getKey(), decodeStatus(entry.getValue().asText())));
-        Map<String, Integer> joined = new LinkedHashMap<>();
-        node.path(JOINED)
+        Map<String, Integer> arrivedBranches = new LinkedHashMap<>();
+        node.path(ARRIVED_BRANCHES)
                 .properties()
-                .forEach(entry -> joined.put(entry.getKey(), entry.getValue().asInt()));
+                .forEach(entry ->
+                        arrivedBranches.put(entry.getKey(), entry.getValue().asInt()));
         return new CekkMachine.State(
-                branches, statuses, joined, node.path(FAILING).asBoolean());
+                branches, statuses, arrivedBranches, node.path(FAILING).asBoolean());
     }
 
     private static CekkMachine.Status decodeStatus(String letter) {
@@ -105,10 +106,10 @@
         } else if (flow instanceof Flow.Fork fork) {
             encodeFlows(fork.flows(), node.add(FORK).add(fork.join()));
         } else if (flow instanceof Flow.Join join) {
-            node.add(JOIN).add(join.name()).add(join.needed());
+            node.add(JOIN).add(join.name()).add(join.expectedBranches());
         } else if (flow instanceof Flow.OrClosure closure) {
             node.add(OR_CLOSURE)
-                    .add(encodeFlow(closure.rest()))
+                    .add(encodeFlow(closure.remaining()))
                     .add(encodeStack(closure.success()))
                     .add(encodeStack(closure.failure()))
                     .add(closure.endless());
@@ -141,9 +142,9 @@
     }
 
     /** The flows that an array holds from the given position on. */
-    private static List<Flow> decodeFlows(JsonNode node, int from) {
+    private static List<Flow> decodeFlows(JsonNode node, int firstIndex) {
         List<Flow> flows = new ArrayList<>();
-        for (int i = from; i < node.size(); i++) {
+        for (int i = firstIndex; i < node.size(); i++) {
             flows.add(decodeFlow(node.get(i)));
         }
         return List.copyOf(flows);
--- a/src/main/java/org/spoolline/pipeline/Flow.java
+++ b/src/main/java/org/spoolline/pipeline/Flow.java
@@ -33,20 +33,21 @@
     /**
      * The or-closure of rule O2, used by rule O3.
      *
-     * @param rest    the alternatives left, one at least
+     * @param remaining  the alternatives left, one at least
      * @param success the success stack as it was before the or flow
      * @param failure the failure stack as it was before the or flow
      * @param endless true if the closure regenerates itself on use, because a users' job is never called failed
      */
-    record OrClosure(Or rest, ContinuationStack success, ContinuationStack failure, boolean endless) implements Flow {}
+    record OrClosure(Or remaining, ContinuationStack success, ContinuationStack failure, boolean endless)
+            implements Flow {}
 
     /**
      * Where the branches of a fork meet (rule J2).
      *
      * @param name   identifies the join within its pipeline
-     * @param needed number of branches that must come before the join succeeds
+     * @param expectedBranches number of branches that must come before the join succeeds
      */
-    record Join(String name, int needed) implements Flow {}
+    record Join(String name, int expectedBranches) implements Flow {}
 
     /** The one empty flow that is needed. */
     Flow EMPTY = new Empty();
--- a/src/main/java/org/spoolline/pipeline/MachineName.java
+++ b/src/main/java/org/spoolline/pipeline/MachineName.java
@@ -27,12 +27,12 @@
 
     /** The name of these parts. */
     static String format(String prefix, int digits, long number) {
-        String figures = digits == 0 ? "" : Long.toString(number);
-        return prefix + "0".repeat(Math.max(0, digits - figures.length())) + figures;
+        String numberText = digits == 0 ? "" : Long.toString(number);
+        return prefix + "0".repeat(Math.max(0, digits - numberText.length())) + numberText;
     }
 
     /** True when the names differ in the number at most. */
-    boolean isAlike(MachineName other) {
+    boolean hasSamePattern(MachineName other) {
         return prefix.equals(other.prefix) && digits == other.digits;
     }
 
@@ -44,7 +44,7 @@
     /** Written out, see {@link Attempt#equals}. */
     @Override
     public boolean equals(Object other) {
-        return other instanceof MachineName name && number == name.number && isAlike(name);
+        return other instanceof MachineName name && number == name.number && hasSamePattern(name);
     }
 
     @Override
--- a/src/main/java/org/spoolline/pipeline/Pipeline.java
+++ b/src/main/java/org/spoolline/pipeline/Pipeline.java
@@ -24,7 +24,7 @@
     /** Name of the join of the fork over the dependencies, which is never stored. */
     private static final String DEPENDENCIES_JOIN = "dependencies";
 
-    private EncodedSubmission job;
+    private EncodedSubmission storedSubmission;
     private final long submittedAt;
     private long eligibleAt;
     private boolean cancelled;
@@ -35,14 +35,14 @@
 
     /** Continues a job that isn't cancelled; the parts are owned by the pipeline from now on. */
     Pipeline(
-            EncodedSubmission job,
+            EncodedSubmission storedSubmission,
             long submittedAt,
             long eligibleAt,
             CekkMachine.State enactment,
             TaskJoin join,
             TaskAttempts attempts,
             RetryState retry) {
-        this.job = job;
+        this.storedSubmission = storedSubmission;
         this.submittedAt = submittedAt;
         this.eligibleAt = eligibleAt;
         this.enactment = enactment;
@@ -54,20 +54,20 @@
     /**
      * A new job.
      *
-     * @param spec        the checked submission
-     * @param rawSpec     its stored form, see {@link SubmissionCodec#encode}
+     * @param submission  the checked submission
+     * @param encoded     its stored form, see {@link SubmissionCodec#encode}
      * @param submittedAt time of day in ms
      */
-    public static Pipeline accept(Submission spec, JsonNode rawSpec, long submittedAt) {
-        return accept(new EncodedSubmission(spec, rawSpec), submittedAt);
+    public static Pipeline accept(Submission submission, JsonNode encoded, long submittedAt) {
+        return accept(new EncodedSubmission(submission, encoded), submittedAt);
     }
 
-    static Pipeline accept(EncodedSubmission job, long submittedAt) {
+    static Pipeline accept(EncodedSubmission storedSubmission, long submittedAt) {
         return new Pipeline(
-                job,
+                storedSubmission,
                 submittedAt,
                 submittedAt,
-                start(job.submission().dependencies()),
+                startEnactment(storedSubmission.submission().dependencies()),
                 TaskJoin.empty(),
                 new TaskAttempts(0),
                 RetryState.empty());
@@ -77,7 +77,7 @@
      * The job's activity under an or-closure that regenerates itself, since a users' job is never called failed. Before
      * it, a fork over the dependencies, whose branches have an empty failure stack: if one fails, the tasks are cancelled.
      */
-    private static CekkMachine.State start(List<String> dependencies) {
+    private static CekkMachine.State startEnactment(List<String> dependencies) {
         Flow.Activity tasks = new Flow.Activity(TASKS_ACTIVITY);
         Flow retriedTasks = new Flow.OrClosure(
                 new Flow.Or(List.of(tasks)), ContinuationStack.BOTTOM, ContinuationStack.BOTTOM, true);
@@ -91,15 +91,15 @@
 
     /** A pipeline in the same state that changes independently of this one. */
     public Pipeline copy() {
-        Pipeline copy =
-                new Pipeline(job, submittedAt, eligibleAt, enactment, join.copy(), attempts.copy(), retry.copy());
+        Pipeline copy = new Pipeline(
+                storedSubmission, submittedAt, eligibleAt, enactment, join.copy(), attempts.copy(), retry.copy());
         copy.cancelled = cancelled;
         return copy;
     }
 
     /** What the user asked for; without its dependencies once they are satisfied. */
     public Submission spec() {
-        return job.submission();
+        return storedSubmission.submission();
     }
 
     /** Identifies the job, for users and in the key-value store. */
@@ -131,18 +131,18 @@
         for (String jobId : spec().dependencies()) {
             enactment = CekkMachine.succeeded(enactment, jobId);
         }
-        if (!enactment.active().equals(List.of(TASKS_ACTIVITY))) {
+        if (!enactment.awaitedActivities().equals(List.of(TASKS_ACTIVITY))) {
             throw new IllegalStateException(jobId() + " does not go on to its tasks");
         }
         // The environment of a join that has succeeded is of no further use, and would take space in the value.
-        enactment = start(List.of());
-        job = EncodedSubmission.of(spec().withoutDependencies());
+        enactment = startEnactment(List.of());
+        storedSubmission = EncodedSubmission.of(spec().withoutDependencies());
         eligibleAt = timeOfDay;
     }
 
     /** A dependency was cancelled: its branch fails, and with no other way left the tasks are cancelled. */
-    public void cancelWithDependency(String jobId) {
-        enactment = CekkMachine.failed(enactment, jobId);
+    public void cancelWithDependency(String dependencyId) {
+        enactment = CekkMachine.failed(enactment, dependencyId);
         cancelled |= enactment.failing();
     }
 
@@ -183,7 +183,7 @@
 
     /** True once the join has succeeded and the success stack was popped to the empty flow (A2). */
     public boolean succeeded() {
-        return enactment.end() == CekkMachine.End.SUCCEEDED;
+        return enactment.pipelineStatus() == CekkMachine.PipelineStatus.SUCCEEDED;
     }
 
     /** True once the task, by its index from 0, has completed. */
@@ -272,7 +272,7 @@
     }
 
     /** An attempt has ended otherwise: its task may start again, but never under the same number. */
-    public void loseAttempt(Attempt attempt) {
+    public void retireAttempt(Attempt attempt) {
         attempts.retire(attempt);
     }
 
@@ -282,26 +282,26 @@
     }
 
     /**
-     * Number for new attempts. The numbers of any one task only grow, since {@link #loseAttempt} goes past the lost one;
+     * Number for new attempts. The numbers of any one task only grow, since {@link #retireAttempt} goes past the lost one;
      * tasks that start for the first time share a number, and with it their machine's place in the stored form.
      */
     public long nextAttemptNumber() {
         return attempts.nextNumber();
     }
 
-    /** Tasks neither completed nor on a machine, lowest first, at most {@code most}, within the join's window. */
-    public List<Integer> unplacedTasks(int most) {
-        List<Integer> found = new ArrayList<>();
+    /** Tasks neither completed nor on a machine, lowest first, at most {@code maxTasks}, within the join's window. */
+    public List<Integer> unplacedTasks(int maxTasks) {
+        List<Integer> tasks = new ArrayList<>();
         if (cancelled || succeeded()) {
-            return found;
+            return tasks;
         }
         int end = join.windowEnd(spec().tasks());
-        for (int task = join.completedBelow(); task < end && found.size() < most; task++) {
+        for (int task = join.completedBelow(); task < end && tasks.size() < maxTasks; task++) {
             if (!join.isCompleted(task) && !attempts.hasAttemptOf(task)) {
-                found.add(task);
+                tasks.add(task);
             }
         }
-        return found;
+        return tasks;
     }
 
     /** Number of tasks neither completed nor on a machine. */
@@ -338,7 +338,7 @@
     }
 
     JsonNode encodedSubmission() {
-        return job.encoded();
+        return storedSubmission.encoded();
     }
 
     CekkMachine.State enactment() {
--- a/src/main/java/org/spoolline/pipeline/PipelineCodec.java
+++ b/src/main/java/org/spoolline/pipeline/PipelineCodec.java
@@ -44,9 +44,11 @@
     /** The stored form of a pipeline. */
     static ObjectNode encode(Pipeline pipeline) {
         int unlisted = pipeline.unlistedAttempts();
-        boolean withoutTasks = pipeline.hasUnsatisfiedDependencies() || unlisted > 0;
+        boolean withoutTaskState = pipeline.hasUnsatisfiedDependencies() || unlisted > 0;
         ObjectNode value = Json.object()
-                .put(VERSION, withoutTasks ? Constants.Job.PIPELINE_VERSION_DEPENDENT : Constants.Job.PIPELINE_VERSION);
+                .put(
+                        VERSION,
+                        withoutTaskState ? Constants.Job.PIPELINE_VERSION_DEPENDENT : Constants.Job.PIPELINE_VERSION);
         value.set(SUBMISSION, pipeline.encodedSubmission());
         value.put(ELIGIBLE_AT, pipeline.eligibleAt());
         if (pipeline.cancelled()) {
@@ -55,13 +57,13 @@
         if (unlisted > 0) {
             value.put(UNLISTED_ATTEMPTS, unlisted);
         }
-        if (!withoutTasks) {
-            encodeTasks(pipeline, value);
+        if (!withoutTaskState) {
+            encodeTaskState(pipeline, value);
         }
         return value;
     }
 
-    private static void encodeTasks(Pipeline pipeline, ObjectNode value) {
+    private static void encodeTaskState(Pipeline pipeline, ObjectNode value) {
         if (pipeline.submittedAt() != pipeline.eligibleAt()) {
             value.put(SUBMITTED_AT, pipeline.submittedAt());
         }
@@ -104,8 +106,8 @@
     static Pipeline decode(JsonNode value) {
         int version = value.path(VERSION).asInt();
         return switch (version) {
-            case Constants.Job.PIPELINE_VERSION_DEPENDENT -> decodeWithoutTasks(value);
-            case Constants.Job.PIPELINE_VERSION, Constants.Job.PIPELINE_VERSION_LEGACY -> decodeWithTasks(
+            case Constants.Job.PIPELINE_VERSION_DEPENDENT -> decodeWithoutTaskState(value);
+            case Constants.Job.PIPELINE_VERSION, Constants.Job.PIPELINE_VERSION_LEGACY -> decodeWithTaskState(
                     value, version);
             default -> throw new IllegalArgumentException("pipeline value of unknown version " + value.path(VERSION));
         };
@@ -116,7 +118,7 @@
         return value.path(CANCELLED).asBoolean();
     }
 
-    private static Pipeline decodeWithTasks(JsonNode value, int version) {
+    private static Pipeline decodeWithTaskState(JsonNode value, int version) {
         long eligibleAt = value.path(ELIGIBLE_AT).asLong();
         Pipeline pipeline = new Pipeline(
                 EncodedSubmission.decode(value.path(SUBMISSION)),
@@ -136,7 +138,7 @@
      * A job that waits for dependencies, whose submission is all that is stored since its state is derived from other
      * jobs; or a cancelled one whose attempts are not listed.
      */
-    private static Pipeline decodeWithoutTasks(JsonNode value) {
+    private static Pipeline decodeWithoutTaskState(JsonNode value) {
         Pipeline pipeline = Pipeline.accept(
                 EncodedSubmission.decode(value.path(SUBMISSION)),
                 value.path(ELIGIBLE_AT).asLong());
@@ -180,10 +182,10 @@
             String machine = group.path(0).asText();
             long incarnation = group.path(1).asLong();
             long number = group.path(2).asLong();
-            for (String run : group.path(3).asText().split(",")) {
-                int dash = run.indexOf('-');
-                int first = Integer.parseInt(dash < 0 ? run : run.substring(0, dash));
-                int last = dash < 0 ? first : Integer.parseInt(run.substring(dash + 1));
+            for (String range : group.path(3).asText().split(",")) {
+                int dash = range.indexOf('-');
+                int first = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
+                int last = dash < 0 ? first : Integer.parseInt(range.substring(dash + 1));
                 for (int task = first; task <= last; task++) {
                     attempts.add(new Attempt(task, number, machine, incarnation));
                 }
--- a/src/main/java/org/spoolline/pipeline/Submission.java
+++ b/src/main/java/org/spoolline/pipeline/Submission.java
@@ -142,15 +142,15 @@
     }
 
     /** Seconds of run time that are lost when a task is stopped without grace after so many. */
-    public double workSinceCheckpointS(double ranS) {
-        return checkpointPolicy.workSinceCheckpointS(ranS);
+    public double workSinceCheckpointS(double runTimeS) {
+        return checkpointPolicy.workSinceCheckpointS(runTimeS);
     }
 
     /** Seconds of run time that are lost, on average, when one task's machine vanishes; a gang loses them in each task. */
     public double expectedLossS() {
-        double interval = checkpoints() ? Math.min(checkpointPolicy.intervalS(), estimateS) : estimateS;
-        double once = interval / 2;
-        return gang() ? once * tasks : once;
+        double intervalS = checkpoints() ? Math.min(checkpointPolicy.intervalS(), estimateS) : estimateS;
+        double lossPerTaskS = intervalS / 2;
+        return gang() ? lossPerTaskS * tasks : lossPerTaskS;
     }
 
     /** At most so many of the tasks may be in one zone. */
--- a/src/main/java/org/spoolline/pipeline/TaskJoin.java
+++ b/src/main/java/org/spoolline/pipeline/TaskJoin.java
@@ -55,12 +55,12 @@
     /** Marks a task that is not completed yet, and moves the mark past all that are completed without a gap. */
     void complete(int task) {
         window.set(task - completedBelow);
-        int first = window.nextClearBit(0);
-        if (first > 0) {
-            completedBelow += first;
-            BitSet rest = window.get(first, Math.max(first, window.length()));
+        int advance = window.nextClearBit(0);
+        if (advance > 0) {
+            completedBelow += advance;
+            BitSet remaining = window.get(advance, Math.max(advance, window.length()));
             window.clear();
-            window.or(rest);
+            window.or(remaining);
         }
     }
 
@@ -80,8 +80,8 @@
      * @param highestTask highest index of the tasks that may complete, or -1 for none
      */
     int growthBytes(int highestTask) {
-        int end = Math.max(window.length(), highestTask + 1 - completedBelow);
-        return base64Length(end) - base64Length(window.length());
+        int windowLength = Math.max(window.length(), highestTask + 1 - completedBelow);
+        return base64Length(windowLength) - base64Length(window.length());
     }
 
     /** Characters of so many bits in Base64 without padding. */
--- a/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
@@ -142,7 +142,7 @@
         Machine machine = machines.get(attempt.machine());
         TerminationProof.Assessment assessment = terminationProof.assess(jobId, attempt, machine, loop.now());
         if (earlier.isReleased(attempt) && assessment.state() != TerminationProof.AttemptState.EXITED) {
-            draft.forChange().loseAttempt(attempt);
+            draft.forChange().retireAttempt(attempt);
             return;
         }
         boolean toStop = committed.cancelled()
@@ -156,12 +156,12 @@
             }
             case EXITED -> exits.apply(draft.forChange(), attempt, machine, assessment.status());
             case TERMINATED -> {
-                draft.forChange().loseAttempt(attempt);
+                draft.forChange().retireAttempt(attempt);
                 lost.add(attempt, assessment.proof(), machine);
             }
             case ABSENT -> {
                 if (toStop || earlier.teamExceedsQuota()) {
-                    draft.forChange().loseAttempt(attempt);
+                    draft.forChange().retireAttempt(attempt);
                 }
             }
             case UNKNOWN -> {}
--- a/src/main/java/org/spoolline/reconcile/GangReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/GangReconciler.java
@@ -38,7 +38,7 @@
             TerminationProof.Assessment assessment =
                     proof.assess(gang.jobId(), attempt, machines.get(attempt.machine()), loop.now());
             if (assessment.state() == TerminationProof.AttemptState.ABSENT) {
-                draft.forChange().loseAttempt(attempt);
+                draft.forChange().retireAttempt(attempt);
             }
         }
     }
--- a/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
+++ b/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
@@ -44,10 +44,10 @@
         machine.recordTaskCompletion();
         if (job.spec().shape() == Submission.Shape.SERVICE) {
             // A service never completes: its task is started again until the user cancels.
-            job.loseAttempt(attempt);
+            job.retireAttempt(attempt);
             backOff(job);
         } else if (job.cancelled()) {
-            job.loseAttempt(attempt);
+            job.retireAttempt(attempt);
         } else {
             if (job.spec().gang()) {
                 completeGang(job);
@@ -65,7 +65,7 @@
 
     /** A job that fails everywhere says little about a machine; several jobs that fail on one machine do. */
     private void failed(Pipeline job, Attempt attempt, Machine machine) {
-        job.loseAttempt(attempt);
+        job.retireAttempt(attempt);
         LOG.info(
                 "Task failed: job={} task={} attempt={} machine={}",
                 job.jobId(),
@@ -81,7 +81,7 @@
     }
 
     private void launchRejected(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
-        job.loseAttempt(attempt);
+        job.retireAttempt(attempt);
         LOG.info(
                 "Launch rejected: job={} task={} attempt={} machine={} reason={}",
                 job.jobId(),
@@ -93,7 +93,7 @@
     }
 
     private static void ended(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
-        job.loseAttempt(attempt);
+        job.retireAttempt(attempt);
         LOG.debug(
                 "Attempt ended: job={} task={} attempt={} machine={} reason={} checkpointed={}",
                 job.jobId(),
--- a/src/test/java/org/spoolline/job/JobTableTest.java
+++ b/src/test/java/org/spoolline/job/JobTableTest.java
@@ -40,7 +40,7 @@
 
     private Pipeline withoutFirst() {
         Pipeline next = entry().committed().copy();
-        next.loseAttempt(first);
+        next.retireAttempt(first);
         return next;
     }
 
--- a/src/test/java/org/spoolline/pipeline/CekkTest.java
+++ b/src/test/java/org/spoolline/pipeline/CekkTest.java
@@ -8,72 +8,76 @@
 
 /** The rules of the CEKK machine on small pipelines. */
 class CekkTest {
-    private static Flow act(String name) {
+    private static Flow activity(String name) {
         return new Flow.Activity(name);
     }
 
-    private static CekkMachine.State trip() {
+    private static CekkMachine.State tripBooking() {
         return CekkMachine.start(new Flow.Seq(List.of(
-                act("course"),
-                new Flow.Fork("join", List.of(new Flow.Or(List.of(act("hotel-b"), act("hotel-c"))), act("flight"))),
-                act("approval"))));
+                activity("course"),
+                new Flow.Fork(
+                        "join",
+                        List.of(new Flow.Or(List.of(activity("hotel-b"), activity("hotel-c"))), activity("flight"))),
+                activity("approval"))));
     }
 
     @Test
-    void successPopsTheSuccessStackAndAJoinWaitsForAllBranches() {
-        CekkMachine.State s = CekkMachine.succeeded(trip(), "course");
-        assertEquals(List.of("hotel-b", "flight"), s.active());
-        s = CekkMachine.succeeded(s, "flight");
-        assertEquals(List.of("hotel-b"), s.active());
-        s = CekkMachine.succeeded(s, "hotel-b");
-        assertEquals(List.of("approval"), s.active());
-        s = CekkMachine.succeeded(s, "approval");
-        assertEquals(CekkMachine.End.SUCCEEDED, s.end());
+    void successPopsSuccessStackAndJoinWaitsForAllBranches() {
+        CekkMachine.State state = CekkMachine.succeeded(tripBooking(), "course");
+        assertEquals(List.of("hotel-b", "flight"), state.awaitedActivities());
+        state = CekkMachine.succeeded(state, "flight");
+        assertEquals(List.of("hotel-b"), state.awaitedActivities());
+        state = CekkMachine.succeeded(state, "hotel-b");
+        assertEquals(List.of("approval"), state.awaitedActivities());
+        state = CekkMachine.succeeded(state, "approval");
+        assertEquals(CekkMachine.PipelineStatus.SUCCEEDED, state.pipelineStatus());
     }
 
     @Test
-    void failureTakesTheNextAlternativeWithTheStacksAsTheyWere() {
-        CekkMachine.State s = CekkMachine.failed(CekkMachine.succeeded(trip(), "course"), "hotel-b");
-        assertEquals(List.of("flight", "hotel-c"), s.active());
-        s = CekkMachine.succeeded(CekkMachine.succeeded(s, "hotel-c"), "flight");
-        assertEquals(List.of("approval"), s.active());
+    void failureTriesNextAlternativeWithOriginalStacks() {
+        CekkMachine.State state = CekkMachine.failed(CekkMachine.succeeded(tripBooking(), "course"), "hotel-b");
+        assertEquals(List.of("flight", "hotel-c"), state.awaitedActivities());
+        state = CekkMachine.succeeded(CekkMachine.succeeded(state, "hotel-c"), "flight");
+        assertEquals(List.of("approval"), state.awaitedActivities());
     }
 
     @Test
-    void withNoAlternativeLeftSiblingsAreWaitedForAndDependentsCancelled() {
-        CekkMachine.State s = CekkMachine.failed(CekkMachine.succeeded(trip(), "course"), "flight");
-        assertTrue(s.failing());
-        assertEquals(List.of("hotel-b"), s.active());
-        assertEquals(CekkMachine.End.RUNNING, s.end());
-        assertEquals(CekkMachine.Status.CANCELLED, s.statuses().get("approval"));
-        s = CekkMachine.succeeded(s, "hotel-b");
-        assertEquals(CekkMachine.End.FAILED, s.end());
+    void failureWithoutAlternativeCancelsDependentsAndAwaitsSiblings() {
+        CekkMachine.State state = CekkMachine.failed(CekkMachine.succeeded(tripBooking(), "course"), "flight");
+        assertTrue(state.failing());
+        assertEquals(List.of("hotel-b"), state.awaitedActivities());
+        assertEquals(CekkMachine.PipelineStatus.RUNNING, state.pipelineStatus());
+        assertEquals(CekkMachine.Status.CANCELLED, state.statuses().get("approval"));
+        state = CekkMachine.succeeded(state, "hotel-b");
+        assertEquals(CekkMachine.PipelineStatus.FAILED, state.pipelineStatus());
     }
 
     @Test
-    void anEndlessClosureRegeneratesItself() {
-        ContinuationStack endless = ContinuationStack.BOTTOM.push(new Flow.OrClosure(
-                new Flow.Or(List.of(act("x"))), ContinuationStack.BOTTOM, ContinuationStack.BOTTOM, true));
-        CekkMachine.State s = CekkMachine.start(act("x"), endless);
+    void endlessOrClosureRetriesAfterEachFailure() {
+        ContinuationStack retryingStack = ContinuationStack.BOTTOM.push(new Flow.OrClosure(
+                new Flow.Or(List.of(activity("x"))), ContinuationStack.BOTTOM, ContinuationStack.BOTTOM, true));
+        CekkMachine.State state = CekkMachine.start(activity("x"), retryingStack);
         for (int i = 0; i < 5; i++) {
-            s = CekkMachine.failed(s, "x");
-            assertEquals(List.of("x"), s.active());
+            state = CekkMachine.failed(state, "x");
+            assertEquals(List.of("x"), state.awaitedActivities());
         }
-        assertEquals(CekkMachine.End.SUCCEEDED, CekkMachine.succeeded(s, "x").end());
+        assertEquals(
+                CekkMachine.PipelineStatus.SUCCEEDED,
+                CekkMachine.succeeded(state, "x").pipelineStatus());
     }
 
     @Test
-    void anUnknownOrRepeatedActivityChangesNothing() {
-        CekkMachine.State s = CekkMachine.succeeded(trip(), "course");
-        assertEquals(s, CekkMachine.succeeded(s, "course"));
-        assertEquals(s, CekkMachine.failed(s, "nothing"));
+    void ignoresUnknownOrCompletedActivity() {
+        CekkMachine.State state = CekkMachine.succeeded(tripBooking(), "course");
+        assertEquals(state, CekkMachine.succeeded(state, "course"));
+        assertEquals(state, CekkMachine.failed(state, "nothing"));
     }
 
     @Test
-    void statesSurviveTheirEncoding() {
-        CekkMachine.State s = CekkMachine.failed(CekkMachine.succeeded(trip(), "course"), "hotel-b");
-        assertEquals(s, ContinuationStackCodec.decode(ContinuationStackCodec.encode(s)));
-        CekkMachine.State failing = CekkMachine.failed(s, "flight");
+    void statesRoundTripThroughCodec() {
+        CekkMachine.State state = CekkMachine.failed(CekkMachine.succeeded(tripBooking(), "course"), "hotel-b");
+        assertEquals(state, ContinuationStackCodec.decode(ContinuationStackCodec.encode(state)));
+        CekkMachine.State failing = CekkMachine.failed(state, "flight");
         assertEquals(failing, ContinuationStackCodec.decode(ContinuationStackCodec.encode(failing)));
     }
 }
--- a/src/test/java/org/spoolline/pipeline/DependentPipelineTest.java
+++ b/src/test/java/org/spoolline/pipeline/DependentPipelineTest.java
@@ -30,99 +30,101 @@
         return Pipeline.accept(spec, SubmissionCodec.encode(spec), 1_000);
     }
 
-    private static Pipeline stored(Pipeline p) {
-        return Pipeline.decode(Json.read(Json.bytes(p.encode())));
+    private static Pipeline encodeAndDecode(Pipeline pipeline) {
+        return Pipeline.decode(Json.read(Json.bytes(pipeline.encode())));
     }
 
     @Test
-    void itWaitsUntilItsDependenciesAreSatisfiedAndThenIsAnOrdinaryJob() throws Exception {
-        Pipeline p = stored(accepted(2, "run-000001", "run-000002", "run-000001"));
-        assertEquals(List.of("run-000001", "run-000002"), p.spec().dependencies());
-        assertTrue(p.hasUnsatisfiedDependencies());
-        assertFalse(p.succeeded());
-        p.satisfyDependencies(61_000);
-        p = stored(p);
-        assertFalse(p.hasUnsatisfiedDependencies());
-        assertEquals(1_000, p.submittedAt());
-        assertEquals(61_000, p.eligibleAt());
-        assertEquals(2, p.unplacedTaskCount());
-        p.completeTask(0);
-        p.completeTask(1);
-        assertTrue(stored(p).succeeded());
+    void waitsForDependenciesThenBecomesOrdinaryJob() throws Exception {
+        Pipeline pipeline = encodeAndDecode(accepted(2, "run-000001", "run-000002", "run-000001"));
+        assertEquals(List.of("run-000001", "run-000002"), pipeline.spec().dependencies());
+        assertTrue(pipeline.hasUnsatisfiedDependencies());
+        assertFalse(pipeline.succeeded());
+        pipeline.satisfyDependencies(61_000);
+        pipeline = encodeAndDecode(pipeline);
+        assertFalse(pipeline.hasUnsatisfiedDependencies());
+        assertEquals(1_000, pipeline.submittedAt());
+        assertEquals(61_000, pipeline.eligibleAt());
+        assertEquals(2, pipeline.unplacedTaskCount());
+        pipeline.completeTask(0);
+        pipeline.completeTask(1);
+        assertTrue(encodeAndDecode(pipeline).succeeded());
     }
 
     @Test
-    void aCancelledDependencyCancelsIt() throws Exception {
-        Pipeline p = accepted(2, "run-000001", "run-000002");
-        p.cancelWithDependency("run-000002");
-        assertTrue(p.cancelledWithoutAttempts());
-        assertFalse(p.succeeded());
-        assertTrue(stored(p).cancelled());
+    void cancelledDependencyCancelsJob() throws Exception {
+        Pipeline pipeline = accepted(2, "run-000001", "run-000002");
+        pipeline.cancelWithDependency("run-000002");
+        assertTrue(pipeline.cancelledWithoutAttempts());
+        assertFalse(pipeline.succeeded());
+        assertTrue(encodeAndDecode(pipeline).cancelled());
     }
 
     @Test
-    void aCancelledJobWithUnlistedAttemptsKeepsTheirNumber() throws Exception {
-        Pipeline p = accepted(3);
-        long number = p.nextAttemptNumber();
-        p.addAttempt(new Attempt(0, number, "m-000001", 1));
-        p.addAttempt(new Attempt(1, number, "m-000002", 1));
-        p.cancelWithUnlistedAttempts();
-        p = stored(p);
-        assertTrue(p.cancelled());
-        assertEquals(2, p.unlistedAttempts());
-        assertFalse(p.cancelledWithoutAttempts());
-        assertFalse(p.hasUnsatisfiedDependencies());
-        p.clearUnlistedAttempts();
-        assertTrue(p.cancelledWithoutAttempts());
+    void cancelledJobKeepsCountOfUnlistedAttempts() throws Exception {
+        Pipeline pipeline = accepted(3);
+        long number = pipeline.nextAttemptNumber();
+        pipeline.addAttempt(new Attempt(0, number, "m-000001", 1));
+        pipeline.addAttempt(new Attempt(1, number, "m-000002", 1));
+        pipeline.cancelWithUnlistedAttempts();
+        pipeline = encodeAndDecode(pipeline);
+        assertTrue(pipeline.cancelled());
+        assertEquals(2, pipeline.unlistedAttempts());
+        assertFalse(pipeline.cancelledWithoutAttempts());
+        assertFalse(pipeline.hasUnsatisfiedDependencies());
+        pipeline.clearUnlistedAttempts();
+        assertTrue(pipeline.cancelledWithoutAttempts());
     }
 
     /** A value that was filled up once grew past its limit as tasks ended from the last to the first. */
     @Test
-    void endsInAnyOrderNeverGrowTheValueBeyondTheGrowthOfItsJoin() throws Exception {
+    void completionsInAnyOrderKeepValueWithinPredictedGrowth() throws Exception {
         for (int seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
-            Pipeline p = accepted(1_200);
-            long number = p.nextAttemptNumber();
-            List<Attempt> open = new ArrayList<>();
+            Pipeline pipeline = accepted(1_200);
+            long number = pipeline.nextAttemptNumber();
+            List<Attempt> running = new ArrayList<>();
             for (int task = 0; task < 1_200; task++) {
                 int machine = seed % 2 == 0 ? task / 8 : random.nextInt(200);
                 Attempt attempt = new Attempt(task, number, String.format("m-%06d", machine), 1);
-                p.addAttempt(attempt);
-                open.add(attempt);
+                pipeline.addAttempt(attempt);
+                running.add(attempt);
             }
-            int most = Json.bytes(p.encode()).length + p.joinGrowthBytes() + 200;
+            int maxBytes = Json.bytes(pipeline.encode()).length + pipeline.joinGrowthBytes() + 200;
             if (seed % 4 < 2) {
-                Collections.shuffle(open, random);
+                Collections.shuffle(running, random);
             } else {
-                Collections.reverse(open);
+                Collections.reverse(running);
             }
-            for (Attempt attempt : open) {
-                p.completeAttempt(attempt);
-                assertTrue(Json.bytes(p.encode()).length <= most, "seed " + seed + ", task " + attempt.task());
+            for (Attempt attempt : running) {
+                pipeline.completeAttempt(attempt);
+                assertTrue(
+                        Json.bytes(pipeline.encode()).length <= maxBytes, "seed " + seed + ", task " + attempt.task());
             }
-            assertTrue(p.succeeded());
+            assertTrue(pipeline.succeeded());
         }
     }
 
     @Test
-    void aListOfDependenciesThatIsNoneIsRefused() throws Exception {
-        for (ObjectNode bad : List.of(
+    void rejectsMalformedDependencies() throws Exception {
+        for (ObjectNode malformed : List.of(
                 body(1).put("waitsOn", "run-000001"),
                 body(1).put("waitsOn", 7),
                 body(1, "m-000001"),
                 body(1, "run-1x"))) {
-            assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.parse(bad));
+            assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.parse(malformed));
         }
-        ObjectNode noText = body(1);
-        noText.putArray("waitsOn").add(7);
-        assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.parse(noText));
-        for (ObjectNode none : List.of(body(1), body(1).putNull("waitsOn"), body(1).without("waitsOn"))) {
-            assertEquals(List.of(), SubmissionCodec.parse(none).dependencies());
+        ObjectNode nonTextId = body(1);
+        nonTextId.putArray("waitsOn").add(7);
+        assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.parse(nonTextId));
+        for (ObjectNode withoutDependencies :
+                List.of(body(1), body(1).putNull("waitsOn"), body(1).without("waitsOn"))) {
+            assertEquals(List.of(), SubmissionCodec.parse(withoutDependencies).dependencies());
         }
     }
 
     @Test
-    void aDamagedValueIsRefused() throws Exception {
+    void rejectsDamagedValue() throws Exception {
         ObjectNode value = accepted(1, "run-000001").encode();
         ((ObjectNode) value.path("job")).remove("waitsOn");
         assertThrows(IllegalArgumentException.class, () -> Pipeline.decode(value));
--- a/src/test/java/org/spoolline/pipeline/PipelineTest.java
+++ b/src/test/java/org/spoolline/pipeline/PipelineTest.java
@@ -46,122 +46,123 @@
         return Pipeline.accept(spec, SubmissionCodec.encode(spec), 1_000);
     }
 
-    private static Pipeline stored(Pipeline p) {
-        return Pipeline.decode(Json.read(Json.bytes(p.encode())));
+    private static Pipeline encodeAndDecode(Pipeline pipeline) {
+        return Pipeline.decode(Json.read(Json.bytes(pipeline.encode())));
     }
 
     @Test
-    void theLastTaskPopsTheStackAndMakesItDone() throws Exception {
-        Pipeline p = pipeline(3);
-        p.completeTask(2);
-        p.completeTask(0);
-        p.completeTask(0);
-        assertFalse(p.succeeded());
-        p = stored(p);
-        assertEquals(2, p.completedTasks());
-        p.completeTask(1);
-        assertTrue(p.succeeded());
-        assertTrue(stored(p).succeeded());
+    void lastCompletedTaskMakesPipelineSucceed() throws Exception {
+        Pipeline pipeline = pipeline(3);
+        pipeline.completeTask(2);
+        pipeline.completeTask(0);
+        pipeline.completeTask(0);
+        assertFalse(pipeline.succeeded());
+        pipeline = encodeAndDecode(pipeline);
+        assertEquals(2, pipeline.completedTasks());
+        pipeline.completeTask(1);
+        assertTrue(pipeline.succeeded());
+        assertTrue(encodeAndDecode(pipeline).succeeded());
     }
 
     @Test
-    void attemptsAndRetriesSurviveTheStore() throws Exception {
-        Pipeline p = pipeline(10);
-        long number = p.nextAttemptNumber();
+    void attemptsAndRetryStateRoundTrip() throws Exception {
+        Pipeline pipeline = pipeline(10);
+        long number = pipeline.nextAttemptNumber();
         for (int task : new int[] {0, 1, 2, 7}) {
-            p.addAttempt(new Attempt(task, number, "m-1", 4));
+            pipeline.addAttempt(new Attempt(task, number, "m-1", 4));
         }
-        p.recordTaskFailure("m-9", 50_000);
-        Pipeline q = stored(p);
-        assertEquals(4, q.attempts().size());
-        assertTrue(q.attempts().contains(new Attempt(7, number, "m-1", 4)));
-        assertTrue(q.avoids("m-9"));
-        assertEquals(p.notBefore(), q.notBefore());
-        assertEquals(6, q.unplacedTaskCount());
+        pipeline.recordTaskFailure("m-9", 50_000);
+        Pipeline decoded = encodeAndDecode(pipeline);
+        assertEquals(4, decoded.attempts().size());
+        assertTrue(decoded.attempts().contains(new Attempt(7, number, "m-1", 4)));
+        assertTrue(decoded.avoids("m-9"));
+        assertEquals(pipeline.notBefore(), decoded.notBefore());
+        assertEquals(6, decoded.unplacedTaskCount());
         // Tasks that never started may share a number; one that has been lost gets a higher one.
-        assertEquals(number, q.nextAttemptNumber());
-        q.loseAttempt(new Attempt(7, number, "m-1", 4));
-        assertEquals(number + 1, q.nextAttemptNumber());
+        assertEquals(number, decoded.nextAttemptNumber());
+        decoded.retireAttempt(new Attempt(7, number, "m-1", 4));
+        assertEquals(number + 1, decoded.nextAttemptNumber());
     }
 
     /** An array over hundreds of machines once had its placements cut short because its value was full. */
     @Test
-    void theWidestArraysFitOneValueWhateverTheirTasksOrder() throws Exception {
+    void arrayOnRandomMachinesFitsOneValue() throws Exception {
         SplittableRandom random = new SplittableRandom(2);
-        Pipeline p = pipeline(2_500);
+        Pipeline pipeline = pipeline(2_500);
         List<Attempt> placed = new ArrayList<>();
         for (int task = 0; task < 2_500; ) {
             String machine = String.format("m-%06d", 1_000 + random.nextInt(1_000));
-            placed.add(new Attempt(task++, p.nextAttemptNumber(), machine, 1 + random.nextInt(8) / 7));
+            placed.add(new Attempt(task++, pipeline.nextAttemptNumber(), machine, 1 + random.nextInt(8) / 7));
         }
-        placed.forEach(p::addAttempt);
-        Pipeline q = stored(p);
-        assertEquals(new HashSet<>(placed), new HashSet<>(q.attempts()));
-        int bytes = Json.bytes(p.encode()).length;
+        placed.forEach(pipeline::addAttempt);
+        Pipeline decoded = encodeAndDecode(pipeline);
+        assertEquals(new HashSet<>(placed), new HashSet<>(decoded.attempts()));
+        int bytes = Json.bytes(pipeline.encode()).length;
         assertTrue(bytes < 8 * 1024 * Constants.Job.VALUE_FILL, bytes + " bytes");
     }
 
     @Test
-    void machinesOfAnyNameSurviveTheStore() throws Exception {
-        Pipeline p = pipeline(20);
+    void anyMachineNameRoundTrips() throws Exception {
+        Pipeline pipeline = pipeline(20);
         List<String> names =
                 List.of("m-000231", "m-231", "m-0231", "plain", "7", "x-99999999999999999999", "\u0663-1", "m-000232");
         List<Attempt> placed = new ArrayList<>();
         for (int task = 0; task < 20; task++) {
             placed.add(new Attempt(task, 7 - task % 3, names.get(task % names.size()), 1L << 3 * task));
         }
-        while (p.nextAttemptNumber() < 7) {
-            p.loseAttempt(new Attempt(0, p.nextAttemptNumber(), "m-1", 1));
+        while (pipeline.nextAttemptNumber() < 7) {
+            pipeline.retireAttempt(new Attempt(0, pipeline.nextAttemptNumber(), "m-1", 1));
         }
-        placed.forEach(p::addAttempt);
-        assertEquals(new HashSet<>(placed), new HashSet<>(stored(p).attempts()));
+        placed.forEach(pipeline::addAttempt);
+        assertEquals(
+                new HashSet<>(placed), new HashSet<>(encodeAndDecode(pipeline).attempts()));
     }
 
     /** A leader of this version takes over jobs that one of the version before has stored. */
     @Test
-    void valuesOfTheLegacyVersionAreRead() throws Exception {
-        ObjectNode old = pipeline(10)
+    void decodesLegacyVersion() throws Exception {
+        ObjectNode legacy = pipeline(10)
                 .encode()
                 .put("ver", Constants.Job.PIPELINE_VERSION_LEGACY)
                 .put("n", 3);
-        old.putArray("on").addArray().add("m-1").add(4).add(2).add("0-2,7");
-        Pipeline q = Pipeline.decode(old);
-        assertEquals(4, q.attempts().size());
-        assertTrue(q.hasAttempt(new Attempt(7, 2, "m-1", 4)));
-        assertThrows(IllegalArgumentException.class, () -> Pipeline.decode(old.put("ver", 99)));
+        legacy.putArray("on").addArray().add("m-1").add(4).add(2).add("0-2,7");
+        Pipeline decoded = Pipeline.decode(legacy);
+        assertEquals(4, decoded.attempts().size());
+        assertTrue(decoded.hasAttempt(new Attempt(7, 2, "m-1", 4)));
+        assertThrows(IllegalArgumentException.class, () -> Pipeline.decode(legacy.put("ver", 99)));
     }
 
     @Test
-    void aFailureNeverEndsAUsersJob() throws Exception {
-        Pipeline p = pipeline(1);
+    void taskFailuresNeverEndJob() throws Exception {
+        Pipeline pipeline = pipeline(1);
         for (int i = 0; i < 20; i++) {
-            p.recordTaskFailure("m-" + i, 0);
+            pipeline.recordTaskFailure("m-" + i, 0);
         }
-        assertFalse(stored(p).succeeded());
-        p.completeTask(0);
-        assertTrue(p.succeeded());
+        assertFalse(encodeAndDecode(pipeline).succeeded());
+        pipeline.completeTask(0);
+        assertTrue(pipeline.succeeded());
     }
 
     @Test
-    void aHundredThousandTasksFitOneValueInTheWorstOrder() throws Exception {
-        Pipeline p = pipeline(100_000);
+    void maxTasksFitOneValueInWorstCompletionOrder() throws Exception {
+        Pipeline pipeline = pipeline(100_000);
         SplittableRandom random = new SplittableRandom(1);
-        int largest = 0;
-        while (!p.succeeded()) {
-            var ready = p.unplacedTasks(5_000);
-            for (int i = 0; i < ready.size(); i++) {
+        int largestBytes = 0;
+        while (!pipeline.succeeded()) {
+            var unplaced = pipeline.unplacedTasks(5_000);
+            for (int i = 0; i < unplaced.size(); i++) {
                 // Odd tasks first: the worst case for runs of done tasks.
-                if (ready.get(i) % 2 == 1 || random.nextInt(3) == 0 || ready.size() < 100) {
-                    p.completeTask(ready.get(i));
+                if (unplaced.get(i) % 2 == 1 || random.nextInt(3) == 0 || unplaced.size() < 100) {
+                    pipeline.completeTask(unplaced.get(i));
                 }
             }
-            largest = Math.max(largest, Json.bytes(p.encode()).length);
+            largestBytes = Math.max(largestBytes, Json.bytes(pipeline.encode()).length);
         }
-        assertTrue(largest < 8 * 1024 / 2, "at most " + largest + " bytes");
+        assertTrue(largestBytes < 8 * 1024 / 2, "at most " + largestBytes + " bytes");
     }
 
     @Test
-    void malformedSubmissionsNameTheirField() {
+    void malformedSubmissionErrorNamesField() {
         for (String field : new String[] {
             "uid",
             "lane",
@@ -200,9 +201,9 @@
     }
 
     @Test
-    void fieldsThatMayBeNullMayBeLeftOut() throws Exception {
-        ObjectNode short1 = body(1);
-        short1.remove(java.util.List.of("builds", "yard", "dueS"));
-        assertEquals(SubmissionCodec.parse(body(1)), SubmissionCodec.parse(short1));
+    void nullableFieldsMayBeOmitted() throws Exception {
+        ObjectNode withoutNullableFields = body(1);
+        withoutNullableFields.remove(java.util.List.of("builds", "yard", "dueS"));
+        assertEquals(SubmissionCodec.parse(body(1)), SubmissionCodec.parse(withoutNullableFields));
     }
 }
--- a/src/test/java/org/spoolline/worker/OrderPlannerTest.java
+++ b/src/test/java/org/spoolline/worker/OrderPlannerTest.java
@@ -76,7 +76,7 @@
     private void release() {
         JobEntry entry = jobs.get(JOB);
         Pipeline next = entry.committed().copy();
-        next.loseAttempt(ATTEMPT);
+        next.retireAttempt(ATTEMPT);
         jobs.release(entry, next, entry.committed().attempts());
     }
 
