--- a/src/main/java/org/spoolline/pipeline/Attempt.java
+++ b/src/main/java/org/spoolline/pipeline/Attempt.java
@@ -1,19 +1,19 @@
 package org.spoolline.pipeline;
 
 /**
- * One start of a task on a machine. It is in the pipeline's value before the launch is sent, and leaves it only on proof
- * of its termination.
+ * One execution of a task on a machine. The pipeline's stored value lists the attempt before the launch is sent to the
+ * machine, and drops it only on proof that the attempt has terminated.
  *
  * @param task        the task's index within the job, from 0
- * @param number      the attempt's number; the numbers of one task only grow
+ * @param number      the attempt's number, which increases with each further attempt of the same task
  * @param machine     the machine's id
- * @param incarnation the incarnation of the machine in which the task was placed
+ * @param incarnation the machine's incarnation when the task was placed
  */
 public record Attempt(int task, long number, String machine, long incarnation) {
     /**
-     * Written out, as in other records that are hash keys. A generated method is linked at its first call, by classes made
-     * then, which no class data archive holds: for the few records compared often that took 80 ms of processor time after
-     * each start.
+     * Implemented by hand, as in the other records that are used as hash keys. The JVM links the generated methods of
+     * a record at their first call, with classes that it creates at that point and that a class data sharing archive
+     * can't contain. For the few records that are compared often, this took 80 ms of processor time after each start.
      */
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/org/spoolline/pipeline/AttemptId.java
+++ b/src/main/java/org/spoolline/pipeline/AttemptId.java
@@ -3,20 +3,20 @@
 import org.spoolline.config.Constants;
 
 /**
- * Identifies one attempt of one task of a job, whatever machine it is on. Heartbeats name it, and no two attempts of a
- * task share one.
+ * Identifies one attempt of a job's task, without the machine that it runs on. Heartbeats report attempts by this id,
+ * and no two attempts of a task have the same id.
  *
- * @param jobId   the job
+ * @param jobId   the job's id
  * @param task    the task's index within the job, from 0
- * @param attempt the number of the attempt; the numbers of one task only grow
+ * @param attempt the attempt's number, which increases with each further attempt of the same task
  */
 public record AttemptId(String jobId, int task, long attempt) {
-    /** The id of a stored attempt of the job. */
+    /** Returns the id of one of the job's stored attempts. */
     public static AttemptId of(String jobId, Attempt attempt) {
         return new AttemptId(jobId, attempt.task(), attempt.number());
     }
 
-    /** Written out, see {@link Attempt#equals}. */
+    /** Implemented by hand, see {@link Attempt#equals}. */
     @Override
     public boolean equals(Object other) {
         return other instanceof AttemptId attemptId
@@ -25,7 +25,7 @@
                 && jobId.equals(attemptId.jobId);
     }
 
-    /** Spreads neighbouring jobs and tasks: a record's own hash gives many of them the same one. */
+    /** Spreads the hashes of similar jobs and tasks, many of which have the same generated record hash. */
     @Override
     public int hashCode() {
         return jobId.hashCode() * Constants.Job.HASH_SPREAD + task * 31 + (int) attempt;
--- a/src/main/java/org/spoolline/pipeline/AttemptsCodec.java
+++ b/src/main/java/org/spoolline/pipeline/AttemptsCodec.java
@@ -12,38 +12,45 @@
 import org.spoolline.net.Json;
 
 /**
- * The stored form of attempts, dense enough for an array whose tasks are scattered over a thousand machines. A place is
- * what the attempts of one machine share: the machine, its incarnation and the attempt number. The form is one array:
+ * Converts a job's attempts to and from their stored form, which is compact enough for an array job whose tasks are
+ * scattered over a thousand machines. Attempts with the same machine, incarnation and attempt number share a
+ * placement, which is stored once. The stored form is one array:
  *
  * <ol>
- *   <li>a section for each group of places whose machines are named alike: an array of the names' prefix, their count of
- *       digits (0 if none), the count of places, and bits: for each place the number in the machine's name as the distance
- *       to that of the place before, its incarnation less 1, and by how much its attempt number is below the highest one;
+ *   <li>one section for each pattern of machine names, that is, each prefix and count of digits. A section is an array
+ *       of the prefix, the count of digits (0 if the name doesn't end in a digit), the count of placements, and a bit
+ *       string with three numbers for each placement: the difference of the number in the machine's name to that of
+ *       the previous placement, the incarnation minus 1, and the highest attempt number minus the placement's attempt
+ *       number;
  *   <li>the count of attempts;
- *   <li>bits for each attempt in the order of tasks: the distance of the task to the one that follows the task before; a
- *       set bit where the place is that of the attempt before, else a clear bit and the place's index over all sections, in
- *       as many bits as tell all places apart.
+ *   <li>a bit string with these fields for each attempt, in the order of tasks: the count of tasks skipped since the
+ *       previous attempt, and a bit that is set if the placement is the one of the previous attempt. If the bit is
+ *       clear, the placement's index over all sections follows, in as many bits as are needed to distinguish all
+ *       placements.
  * </ol>
  *
- * <p>Numbers are in Elias gamma code ({@link BitWriter#writeNumber}), bits in Base64. Sections and their places are sorted,
- * so the same attempts are always stored the same.
+ * <p>Numbers are in Elias gamma code ({@link BitWriter#writeNumber}), bit strings in Base64. Sections and placements
+ * are sorted, so the same attempts always have the same stored form.
  */
 final class AttemptsCodec {
-    /** Positions in a section's array. */
+    /** Positions of the fields in a section's array. */
     private static final int SECTION_PREFIX = 0;
 
     private static final int SECTION_DIGITS = 1;
     private static final int SECTION_PLACEMENTS = 2;
     private static final int SECTION_BITS = 3;
 
-    /** What attempts on one machine share; the machine's name is kept beside its parts to be hashed cheaply. */
+    /**
+     * What the attempts on one machine share. The machine's whole name is held next to its parsed form because it is
+     * cheap to hash.
+     */
     private record Placement(MachineName machineName, String machine, long incarnation, long number) {
         static Placement of(Attempt attempt) {
             return new Placement(
                     MachineName.parse(attempt.machine()), attempt.machine(), attempt.incarnation(), attempt.number());
         }
 
-        /** Written out, see {@link Attempt#equals}. */
+        /** Implemented by hand, see {@link Attempt#equals}. */
         @Override
         public boolean equals(Object other) {
             return other instanceof Placement placement
@@ -71,8 +78,8 @@
     /**
      * Encodes attempts.
      *
-     * @param attempts      in any order, one for each task
-     * @param highestNumber a number that no attempt's exceeds
+     * @param attempts      in any order, at most one for each task
+     * @param highestNumber upper bound (inclusive) of the attempts' numbers
      */
     static ArrayNode encode(Collection<Attempt> attempts, long highestNumber) {
         List<Attempt> byTask = new ArrayList<>(attempts);
@@ -98,14 +105,14 @@
     private static void encodeSections(List<Placement> placements, long highestNumber, ArrayNode stored) {
         int start = 0;
         while (start < placements.size()) {
-            MachineName first = placements.get(start).machineName();
+            MachineName firstName = placements.get(start).machineName();
             int end = start;
-            while (end < placements.size() && placements.get(end).machineName().hasSamePattern(first)) {
+            while (end < placements.size() && placements.get(end).machineName().hasSamePattern(firstName)) {
                 end++;
             }
             stored.addArray()
-                    .add(first.prefix())
-                    .add(first.digits())
+                    .add(firstName.prefix())
+                    .add(firstName.digits())
                     .add(end - start)
                     .add(encodePlacements(placements.subList(start, end), highestNumber));
             start = end;
@@ -148,8 +155,8 @@
     /**
      * Decodes attempts.
      *
-     * @param highestNumber as it was when they were encoded
-     * @param consumer      is given each attempt, in the order of tasks
+     * @param highestNumber the value that was passed to {@link #encode}
+     * @param consumer      receives each attempt, in the order of tasks
      */
     static void decode(JsonNode stored, long highestNumber, Consumer<Attempt> consumer) {
         List<Attempt> placements = new ArrayList<>();
@@ -163,7 +170,7 @@
         decodeTasks(bits, count, placements, consumer);
     }
 
-    /** Adds the section's places, each as the attempt of task 0. */
+    /** Appends the section's placements to the list, each in the form of an attempt of task 0. */
     private static void decodePlacements(JsonNode section, long highestNumber, List<Attempt> placements) {
         String prefix = section.path(SECTION_PREFIX).asText();
         int digits = section.path(SECTION_DIGITS).asInt();
@@ -191,7 +198,7 @@
         }
     }
 
-    /** Bits that tell so many places apart. */
+    /** Number of bits that an index into this many placements takes. */
     private static int indexWidth(int placements) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(0, placements - 1));
     }
--- a/src/main/java/org/spoolline/pipeline/BitReader.java
+++ b/src/main/java/org/spoolline/pipeline/BitReader.java
@@ -3,12 +3,15 @@
 import java.util.Base64;
 import java.util.BitSet;
 
-/** Reads what a {@link BitWriter} wrote, in the same order; past the end there are zeros. */
+/**
+ * Reads the values that a {@link BitWriter} wrote, in the same order. Bits past the end are read as zeros, because the
+ * writer leaves out trailing zeros.
+ */
 final class BitReader {
     private final BitSet bits;
     private int position;
 
-    /** Reads from the start of a text in Base64. */
+    /** Starts at the first bit of a text in Base64. */
     BitReader(String base64) {
         bits = BitSet.valueOf(Base64.getDecoder().decode(base64));
     }
@@ -17,7 +20,7 @@
         return bits.get(position++);
     }
 
-    /** Reads a value of so many bits, the least significant first. */
+    /** Reads an unsigned value of {@code width} bits, least significant bit first. */
     long readBits(int width) {
         long value = 0;
         for (int i = 0; i < width; i++) {
@@ -26,7 +29,7 @@
         return value;
     }
 
-    /** Reads a number from 0 in Elias gamma code, see {@link BitWriter#writeNumber}. */
+    /** Reads a number of 0 or more in Elias gamma code, see {@link BitWriter#writeNumber}. */
     long readNumber() {
         int width = 0;
         while (readBit()) {
--- a/src/main/java/org/spoolline/pipeline/BitWriter.java
+++ b/src/main/java/org/spoolline/pipeline/BitWriter.java
@@ -3,7 +3,7 @@
 import java.util.Base64;
 import java.util.BitSet;
 
-/** Writes values of a few bits each, one after the other; {@link BitReader} reads them in the same order. */
+/** Writes values of a few bits each into one bit string; {@link BitReader} reads them in the same order. */
 final class BitWriter {
     private final BitSet bits = new BitSet();
     private int length;
@@ -12,7 +12,7 @@
         bits.set(length++, bit);
     }
 
-    /** Writes the lowest {@code width} bits of the value, the least significant first. */
+    /** Writes the {@code width} lowest bits of the value, least significant bit first. */
     void writeBits(long value, int width) {
         for (int i = 0; i < width; i++) {
             writeBit((value >>> i & 1) == 1);
@@ -20,8 +20,9 @@
     }
 
     /**
-     * Writes a number from 0 in Elias gamma code, of the number plus one: the count of the bits below its highest one, in
-     * unary, and then these bits. Small numbers, which most are, take one to three bits.
+     * Writes a number of 0 or more in Elias gamma code. The code is that of the number plus one: the count of bits
+     * below the highest set bit, in unary, followed by these bits. Small numbers, which are the most frequent, take
+     * one to three bits.
      */
     void writeNumber(long value) {
         int width = Long.SIZE - 1 - Long.numberOfLeadingZeros(value + 1);
@@ -32,7 +33,7 @@
         writeBits(value + 1, width);
     }
 
-    /** What was written, in Base64 without padding; zeros at its end are left out. */
+    /** Returns the written bits in Base64 without padding; trailing zeros are left out. */
     String toBase64() {
         return Base64.getEncoder().withoutPadding().encodeToString(bits.toByteArray());
     }
--- a/src/main/java/org/spoolline/pipeline/CekkMachine.java
+++ b/src/main/java/org/spoolline/pipeline/CekkMachine.java
@@ -8,28 +8,29 @@
 import java.util.Optional;
 
 /**
- * The CEKK machine of "Continuation-Passing Enactment of Distributed Recoverable Workflows" (Yu and Yang): a control
- * expression, an environment and two continuations. It is a pure function on {@link State}s, and each method that applies
- * one of the paper's rules names it. Where the paper passes a state from site to site, the leader steps it in place. There
- * are no undo activities: a failure takes the next way of an or-closure, and with none left it cancels.
+ * The CEKK machine of "Continuation-Passing Enactment of Distributed Recoverable Workflows" (Yu and Yang), named after
+ * its control expression, environment and two continuations. The machine is a pure function on {@link State}s, and
+ * each method that applies one of the paper's rules names the rule. In the paper, sites pass the state on to one
+ * another; here, the leader steps it in place. Undo activities are not supported: a failure tries the next alternative
+ * of an or-closure, and if no alternative is left, it cancels the activities that depend on the failed one.
  */
 public final class CekkMachine {
-    /** A branch: its control expression, and the stacks that are popped as that succeeds or fails. */
+    /** A branch: its control expression, and the stacks to pop when the control expression succeeds or fails. */
     public record Branch(Flow control, ContinuationStack success, ContinuationStack failure) {
-        /** The activity this branch waits for; empty only while the machine steps the branch. */
+        /** Returns the activity that this branch waits for; empty only while the machine steps the branch. */
         public Optional<String> awaitedActivity() {
             return control instanceof Flow.Activity activity ? Optional.of(activity.name()) : Optional.empty();
         }
     }
 
-    /** How an activity or a join has ended, as far as the environment knows it. */
+    /** How an activity or a join has ended, as recorded in the environment. */
     public enum Status {
         SUCCEEDED,
         FAILED,
         CANCELLED
     }
 
-    /** Whether, and how, a whole pipeline has ended. */
+    /** Whether a whole pipeline is still running, has succeeded or has failed. */
     public enum PipelineStatus {
         RUNNING,
         SUCCEEDED,
@@ -37,19 +38,21 @@
     }
 
     /**
-     * The state of a whole pipeline between two steps. Immutable; the machine returns a new one for each step.
+     * The state of a whole pipeline between two steps. Immutable; each step returns a new state.
      *
-     * @param branches the live branches, each of which waits for an activity
-     * @param statuses the environment: how activities and joins have ended, in the order of their ends
-     * @param arrivedBranches of each join, the number of its branches that have come to it
-     * @param failing  true once a failure found no way left; no branch goes on then, each ends as its activity does
+     * @param branches        the live branches, each of which waits for an activity
+     * @param statuses        the environment: the status of each ended activity and join, in the order in which they
+     *     ended
+     * @param arrivedBranches for each join, the number of branches that have reached it
+     * @param failing         true once an activity failed with no alternative left; from then on, no activity starts
+     *     and each branch ends together with the activity that it waits for
      */
     public record State(
             List<Branch> branches,
             Map<String, Status> statuses,
             Map<String, Integer> arrivedBranches,
             boolean failing) {
-        /** How the pipeline has ended, or that it hasn't. */
+        /** Returns whether the pipeline is still running, has succeeded or has failed. */
         public PipelineStatus pipelineStatus() {
             if (!branches.isEmpty()) {
                 return PipelineStatus.RUNNING;
@@ -77,19 +80,22 @@
         failing = state.failing();
     }
 
-    /** A new pipeline, stepped until every branch waits for an activity. */
+    /** Starts a pipeline and steps it until every branch waits for an activity. */
     public static State start(Flow flow) {
         return start(flow, ContinuationStack.BOTTOM);
     }
 
-    /** A new pipeline with a failure stack that is applied when the flow fails. */
+    /** Starts a pipeline with a failure stack that is applied when the flow fails. */
     public static State start(Flow flow, ContinuationStack failure) {
         CekkMachine machine = new CekkMachine(new State(List.of(), Map.of(), Map.of(), false));
         machine.enact(new Branch(flow, ContinuationStack.BOTTOM, failure));
         return machine.state();
     }
 
-    /** Rule A2: the activity's success pops the success stack. An activity that no branch waits for changes nothing. */
+    /**
+     * Rule A2: records an activity's success and pops the success stack of the branch that waits for it. If no branch
+     * waits for the activity, the state stays the same.
+     */
     public static State succeeded(State state, String activity) {
         CekkMachine machine = new CekkMachine(state);
         Optional<Branch> branch = machine.removeBranchAwaiting(activity);
@@ -103,7 +109,10 @@
         return machine.state();
     }
 
-    /** Rule A3: the activity's failure applies the failure stack. An activity that no branch waits for changes nothing. */
+    /**
+     * Rule A3: records an activity's failure and applies the failure stack of the branch that waits for it. If no
+     * branch waits for the activity, the state stays the same.
+     */
     public static State failed(State state, String activity) {
         CekkMachine machine = new CekkMachine(state);
         Optional<Branch> branch = machine.removeBranchAwaiting(activity);
@@ -117,11 +126,15 @@
         return machine.state();
     }
 
-    /** Rule A3; with an empty failure stack no way is left, and the whole pipeline fails. */
+    /**
+     * Rule A3: continues with the top of the failure stack. If the failure stack is empty, no alternative is left and
+     * the whole pipeline fails.
+     */
     private void applyFailure(Branch branch) {
         ContinuationStack failure = branch.failure();
         if (failure.isEmpty()) {
-            // The other branches end as their activities do; nothing that follows any branch will run.
+            // Each other branch ends together with its current activity; the activities that follow in any branch
+            // never run.
             failing = true;
             cancelDependents(branch);
             branches.forEach(this::cancelDependents);
@@ -148,7 +161,9 @@
         }
     }
 
-    /** Steps a branch until it waits for an activity, has joined others, or has ended. */
+    /**
+     * Steps a branch until it waits for an activity, has reached a join that waits for other branches, or has ended.
+     */
     private void enact(Branch initial) {
         Optional<Branch> branch = Optional.of(initial);
         while (branch.isPresent()) {
@@ -156,7 +171,10 @@
         }
     }
 
-    /** Applies the one rule for the branch's control expression; empty when the branch goes on no further by itself. */
+    /**
+     * Applies the rule for the branch's control expression. Returns the branch to step next, or empty if this branch
+     * waits for an activity, was replaced by the branches of a fork, or has ended.
+     */
     private Optional<Branch> step(Branch branch) {
         Flow control = branch.control();
         if (control instanceof Flow.Activity) {
@@ -175,16 +193,16 @@
         } else if (control instanceof Flow.Join join) {
             return join(join, branch);
         }
-        throw new IllegalStateException("no rule for " + control);
+        throw new IllegalStateException("no CEKK rule for control expression " + control);
     }
 
-    /** The control expression has succeeded: what its success stack holds comes next. */
+    /** Continues with the top of the success stack, after the control expression has succeeded. */
     private static Branch popSuccess(Branch branch) {
         ContinuationStack success = branch.success();
         return new Branch(success.head(), success.tail(), branch.failure());
     }
 
-    /** Rules S1 and S2: the first of the flows is enacted, and the others, if any, are pushed on the success stack. */
+    /** Rules S1 and S2: continues with the first flow and pushes the others, if any, on the success stack. */
     private static Branch enterSequence(Flow.Seq seq, Branch branch) {
         List<Flow> flows = seq.flows();
         Flow first = flows.isEmpty() ? Flow.EMPTY : flows.get(0);
@@ -195,15 +213,16 @@
         return new Branch(first, success, branch.failure());
     }
 
-    /** Rules O1 and O2 with all of the alternatives, of which each is tried once. */
+    /** Rules O1 and O2: tries the first alternative; each alternative is tried at most once. */
     private static Branch enterAlternatives(Flow.Or or, Branch branch) {
         return tryNextAlternative(new Flow.OrClosure(or, branch.success(), branch.failure(), false));
     }
 
     /**
-     * Rule O3: the alternatives left are enacted with the stacks that the closure kept. The last one has nothing but these
-     * stacks (O1); before it, a closure with those that are left becomes the failure stack (O2). An endless closure is
-     * always left with all of its alternatives, the tried one moved to the end.
+     * Rule O3: tries the first remaining alternative with the success and failure stacks that the closure holds. If it
+     * is the last one, it gets just these stacks (O1); otherwise a closure with the alternatives after it becomes the
+     * failure stack (O2). An endless closure always keeps all of its alternatives: the one being tried moves to the
+     * end.
      */
     private static Branch tryNextAlternative(Flow.OrClosure closure) {
         List<Flow> flows = closure.remaining().flows();
@@ -220,7 +239,7 @@
         return new Branch(first, closure.success(), new ContinuationStack(List.of(remainingClosure)));
     }
 
-    /** Rule F1: each flow is enacted as a branch of its own, with the join of them all pushed on its success stack. */
+    /** Rule F1: starts a branch for each flow, with the join of these branches pushed on its success stack. */
     private Optional<Branch> fork(Flow.Fork fork, Branch branch) {
         List<Flow> flows = fork.flows();
         if (flows.isEmpty()) {
@@ -233,7 +252,7 @@
         return Optional.empty();
     }
 
-    /** Rule J2: branches end at the join, but for the last one to come, which goes on for all. */
+    /** Rule J2: each branch ends when it reaches the join, except the last one, which continues for all of them. */
     private Optional<Branch> join(Flow.Join join, Branch branch) {
         int arrived = arrivedBranches.merge(join.name(), 1, Integer::sum);
         if (arrived < join.expectedBranches()) {
@@ -243,7 +262,7 @@
         return Optional.of(popSuccess(branch));
     }
 
-    /** Removes the branch that waits for the activity, if there is one. */
+    /** Removes and returns the branch that waits for the activity; empty if there is none. */
     private Optional<Branch> removeBranchAwaiting(String activity) {
         for (int i = 0; i < branches.size(); i++) {
             if (branches.get(i).control() instanceof Flow.Activity awaited
--- a/src/main/java/org/spoolline/pipeline/ContinuationStackCodec.java
+++ b/src/main/java/org/spoolline/pipeline/ContinuationStackCodec.java
@@ -10,12 +10,13 @@
 import org.spoolline.net.Json;
 
 /**
- * The stored form of a machine's state. A flow is an array whose first element names its kind, a stack is an array of its
- * frames from the top down, a branch an array of its control expression and its two stacks.
+ * Converts the state of a CEKK machine to and from its stored form. A flow is an array whose first element is its
+ * kind, a stack is an array of its frames from top to bottom, and a branch is an array of its control expression,
+ * success stack and failure stack.
  */
 public final class ContinuationStackCodec {
     private static final String BRANCHES = "b";
-    /** The environment: of each activity or join that has ended, its status by the first letter. */
+    /** The environment: the status of each ended activity and join, as the status's first letter. */
     private static final String STATUSES = "e";
 
     private static final String ARRIVED_BRANCHES = "j";
@@ -31,7 +32,7 @@
 
     private ContinuationStackCodec() {}
 
-    /** The stored form of a state. */
+    /** Returns the stored form of a state. */
     public static JsonNode encode(CekkMachine.State state) {
         ObjectNode node = Json.object();
         ArrayNode branches = node.putArray(BRANCHES);
@@ -56,7 +57,7 @@
         return node;
     }
 
-    /** Reads the stored form of a state. */
+    /** Decodes the stored form of a state. */
     public static CekkMachine.State decode(JsonNode node) {
         List<CekkMachine.Branch> branches = new ArrayList<>();
         for (JsonNode branch : node.path(BRANCHES)) {
@@ -141,7 +142,7 @@
         }
     }
 
-    /** The flows that an array holds from the given position on. */
+    /** Decodes the flows in an array, from the given index on. */
     private static List<Flow> decodeFlows(JsonNode node, int firstIndex) {
         List<Flow> flows = new ArrayList<>();
         for (int i = firstIndex; i < node.size(); i++) {
--- a/src/main/java/org/spoolline/pipeline/EncodedSubmission.java
+++ b/src/main/java/org/spoolline/pipeline/EncodedSubmission.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A submission beside its stored form, so that a value which is written again carries the form it was read with and no
+ * A submission and its stored form. A job's value that is written again reuses the stored form that was read, so no
  * submission is encoded twice.
  *
- * @param submission what the user asked for
- * @param encoded    its stored form, which is never changed
+ * @param submission the user's request
+ * @param encoded    the submission's stored form, which must not be modified
  */
 record EncodedSubmission(Submission submission, JsonNode encoded) {
-    /** Encodes a submission whose stored form doesn't exist yet. */
+    /** Encodes a submission that has no stored form yet. */
     static EncodedSubmission of(Submission submission) {
         return new EncodedSubmission(submission, SubmissionCodec.encode(submission));
     }
 
-    /** Reads a stored form. */
+    /** Decodes the stored form of a submission. */
     static EncodedSubmission decode(JsonNode encoded) {
         return new EncodedSubmission(SubmissionCodec.decodeStored(encoded), encoded);
     }
--- a/src/main/java/org/spoolline/pipeline/FieldReader.java
+++ b/src/main/java/org/spoolline/pipeline/FieldReader.java
@@ -5,22 +5,22 @@
 import org.spoolline.pipeline.SubmissionCodec.Malformed;
 
 /**
- * Reads single fields of a submission's body. Each method but {@link #value} and {@link #isAbsent} throws
- * {@link Malformed}, with the field's name, where the field is missing or not of the form asked for.
+ * Reads the fields of a submission's body. The methods that read a field of a required form throw {@link Malformed},
+ * with the field's name, if the field is missing or doesn't have that form.
  */
 record FieldReader(JsonNode body) {
-    /** The field as it is, or a missing node. */
+    /** Returns the field's value unchecked, or a missing node if there is no such field. */
     JsonNode value(String field) {
         return body.path(field);
     }
 
-    /** True where the field is left out or null. */
+    /** True if the field is missing or null. */
     boolean isAbsent(String field) {
         JsonNode value = value(field);
         return value.isMissingNode() || value.isNull();
     }
 
-    /** A text of at least one character and at most {@link Constants.Job#MAX_NAME}. */
+    /** Reads a text of at least one character and at most {@link Constants.Job#MAX_NAME}. */
     String text(String field) throws Malformed {
         JsonNode value = value(field);
         if (!isNonEmptyText(value) || value.asText().length() > Constants.Job.MAX_NAME) {
@@ -29,7 +29,7 @@
         return value.asText();
     }
 
-    /** The constant that a text names. */
+    /** Reads a text and returns the enum constant that has it as its wire name. */
     <E extends Enum<E>> E constant(String field, WireNames<E> names) throws Malformed {
         return names.constantOf(text(field)).orElseThrow(() -> new Malformed(field));
     }
@@ -42,17 +42,17 @@
         return value.asBoolean();
     }
 
-    /** A finite number from 0. */
-    double amount(String field) throws Malformed {
+    /** Reads a finite number of 0 or more. */
+    double nonNegativeNumber(String field) throws Malformed {
         JsonNode value = value(field);
-        double amount = value.asDouble(-1);
-        if (!value.isNumber() || !(amount >= 0) || Double.isInfinite(amount)) {
+        double number = value.asDouble(-1);
+        if (!value.isNumber() || !(number >= 0) || Double.isInfinite(number)) {
             throw new Malformed(field);
         }
-        return amount;
+        return number;
     }
 
-    /** True for a text of at least one character. */
+    /** True if the value is a text of at least one character. */
     static boolean isNonEmptyText(JsonNode value) {
         return value.isTextual() && !value.asText().isEmpty();
     }
--- a/src/main/java/org/spoolline/pipeline/Flow.java
+++ b/src/main/java/org/spoolline/pipeline/Flow.java
@@ -3,52 +3,53 @@
 import java.util.List;
 
 /**
- * The paper's flows, and the frames made of them that continuation stacks hold. Immutable. {@link CekkMachine} has a rule
- * for each kind, {@link ContinuationStackCodec} a stored form.
+ * The flows of the paper, which are also the frames of continuation stacks. Immutable. {@link CekkMachine} has a rule
+ * for each kind of flow, and {@link ContinuationStackCodec} has a stored form.
  */
 public sealed interface Flow {
-    /** The empty flow: nothing is left to do. */
+    /** The empty flow, which succeeds without doing anything. */
     record Empty() implements Flow {}
 
     /**
-     * Work that ends with success or failure.
+     * A unit of work that succeeds or fails.
      *
      * @param name identifies the activity within its pipeline
      */
     record Activity(String name) implements Flow {}
 
-    /** Flows one after the other (rules S1 and S2). */
+    /** Flows that run one after the other (rules S1 and S2). */
     record Seq(List<Flow> flows) implements Flow {}
 
     /**
-     * Flows side by side (rule F1).
+     * Flows that run in parallel (rule F1).
      *
-     * @param join name of the join where they meet
+     * @param join name of the join that waits for all of the flows
      */
     record Fork(String join, List<Flow> flows) implements Flow {}
 
-    /** Alternatives, one at least: the next one is tried when the one before has failed (rules O1 and O2). */
+    /** Alternatives, at least one: if an alternative fails, the next one is tried (rules O1 and O2). */
     record Or(List<Flow> flows) implements Flow {}
 
     /**
-     * The or-closure of rule O2, used by rule O3.
+     * The or-closure that rule O2 creates and rule O3 uses.
      *
-     * @param remaining  the alternatives left, one at least
-     * @param success the success stack as it was before the or flow
-     * @param failure the failure stack as it was before the or flow
-     * @param endless true if the closure regenerates itself on use, because a users' job is never called failed
+     * @param remaining the alternatives that can still be tried, at least one
+     * @param success   the success stack before the or flow was entered
+     * @param failure   the failure stack before the or flow was entered
+     * @param endless   true if the closure regenerates itself on use and so never runs out of alternatives; used
+     *     because a user's job is never reported as failed
      */
     record OrClosure(Or remaining, ContinuationStack success, ContinuationStack failure, boolean endless)
             implements Flow {}
 
     /**
-     * Where the branches of a fork meet (rule J2).
+     * The join that waits for the branches of a fork (rule J2).
      *
-     * @param name   identifies the join within its pipeline
-     * @param expectedBranches number of branches that must come before the join succeeds
+     * @param name             identifies the join within its pipeline
+     * @param expectedBranches number of branches that must reach the join before it succeeds
      */
     record Join(String name, int expectedBranches) implements Flow {}
 
-    /** The one empty flow that is needed. */
+    /** The shared instance of the empty flow. */
     Flow EMPTY = new Empty();
 }
--- a/src/main/java/org/spoolline/pipeline/MachineName.java
+++ b/src/main/java/org/spoolline/pipeline/MachineName.java
@@ -1,18 +1,18 @@
 package org.spoolline.pipeline;
 
 /**
- * A machine's name as a prefix and a number of a fixed count of digits, so that names which differ in the number only can
- * be stored as distances.
+ * A machine's name, split into a prefix and a number with a fixed count of digits, so that names that differ only in
+ * the number can be stored as the differences of their numbers.
  *
- * @param prefix what precedes the number; the whole name where it ends in no digit
- * @param digits count of digits, leading zeros included; 0 where the name ends in no digit
- * @param number the number; 0 where the name ends in no digit
+ * @param prefix the part before the number; the whole name if it doesn't end in a digit
+ * @param digits the number's count of digits, including leading zeros; 0 if the name doesn't end in a digit
+ * @param number the number; 0 if the name doesn't end in a digit
  */
 record MachineName(String prefix, int digits, int number) {
-    /** As many as surely fit an int. */
+    /** Every number of so many digits fits an int. */
     private static final int MAX_DIGITS = 9;
 
-    /** Splits a name; {@link #format} puts the parts together again. */
+    /** Splits a name into its parts; {@link #format} restores the name from them. */
     static MachineName parse(String machine) {
         int length = machine.length();
         int start = length;
@@ -25,23 +25,23 @@
         return new MachineName(machine.substring(0, start), length - start, Integer.parseInt(machine.substring(start)));
     }
 
-    /** The name of these parts. */
+    /** Returns the name that consists of these parts. */
     static String format(String prefix, int digits, long number) {
         String numberText = digits == 0 ? "" : Long.toString(number);
         return prefix + "0".repeat(Math.max(0, digits - numberText.length())) + numberText;
     }
 
-    /** True when the names differ in the number at most. */
+    /** True if the names differ at most in the number. */
     boolean hasSamePattern(MachineName other) {
         return prefix.equals(other.prefix) && digits == other.digits;
     }
 
-    /** Of ASCII only: the digits of other scripts would not be put together again as they were. */
+    /** Accepts ASCII digits only, because {@link #format} could not restore the digits of other scripts. */
     private static boolean isDigit(char character) {
         return character >= '0' && character <= '9';
     }
 
-    /** Written out, see {@link Attempt#equals}. */
+    /** Implemented by hand, see {@link Attempt#equals}. */
     @Override
     public boolean equals(Object other) {
         return other instanceof MachineName name && number == name.number && hasSamePattern(name);
--- a/src/main/java/org/spoolline/pipeline/Pipeline.java
+++ b/src/main/java/org/spoolline/pipeline/Pipeline.java
@@ -7,21 +7,22 @@
 import java.util.List;
 
 /**
- * A job as the one stored value of the design: its submission, the state of its CEKK machine, the join of its tasks, its
- * current attempts and its retries. The paper's activity is the job itself: the rules see that all of its tasks have
- * succeeded (A2) or that one has failed (A3, O3).
+ * A job, whose whole state is one stored value: its submission, the state of its CEKK machine, the join of its tasks,
+ * its current attempts and its retry state. All tasks of a job are one activity in the sense of the paper: the
+ * activity succeeds when all tasks have succeeded (A2) and fails when one task has failed (A3, O3).
  *
- * <p>A job with dependencies begins with a fork over them (F1), whose branches end as those jobs do; the join (J2) goes on
- * to the tasks. The join's count is not stored: it is derived from the terminal records of the dependencies, and the
- * leader steps the stored start by them. Once all have succeeded, the value is that of a job without dependencies.
+ * <p>The flow of a job with dependencies begins with a fork over them (F1). Each branch ends when the job that it
+ * stands for ends, and the join (J2) then continues with the tasks. The join's count is not stored: the leader derives
+ * it from the terminal records of the dependencies and steps the stored initial state by them. Once all dependencies
+ * have succeeded, the stored value is that of a job without dependencies.
  *
- * <p>Mutable while a scheduling cycle works on a {@link #copy} of its own; the committed one is never changed. Not safe
- * for threads.
+ * <p>Mutable: a scheduling cycle changes its own {@link #copy}, and a committed pipeline is never changed. Not
+ * thread-safe.
  */
 public final class Pipeline {
-    /** Name of the activity that stands for all of the job's tasks; it is part of the stored value. */
+    /** Name of the activity that represents all of the job's tasks; it is part of the stored value. */
     private static final String TASKS_ACTIVITY = "tasks";
-    /** Name of the join of the fork over the dependencies, which is never stored. */
+    /** Name of the join of the fork over the dependencies; it is never stored. */
     private static final String DEPENDENCIES_JOIN = "dependencies";
 
     private EncodedSubmission storedSubmission;
@@ -33,7 +34,7 @@
     private final TaskAttempts attempts;
     private final RetryState retry;
 
-    /** Continues a job that isn't cancelled; the parts are owned by the pipeline from now on. */
+    /** Creates a job that isn't cancelled; the pipeline owns the given parts from now on. */
     Pipeline(
             EncodedSubmission storedSubmission,
             long submittedAt,
@@ -52,7 +53,7 @@
     }
 
     /**
-     * A new job.
+     * Creates the pipeline of a newly accepted job.
      *
      * @param submission  the checked submission
      * @param encoded     its stored form, see {@link SubmissionCodec#encode}
@@ -74,8 +75,9 @@
     }
 
     /**
-     * The job's activity under an or-closure that regenerates itself, since a users' job is never called failed. Before
-     * it, a fork over the dependencies, whose branches have an empty failure stack: if one fails, the tasks are cancelled.
+     * The flow runs the job's activity under an or-closure that regenerates itself, because a user's job is never
+     * reported as failed. If the job has dependencies, the flow starts with a fork over them. Its branches have an
+     * empty failure stack, so the failure of one of them cancels the tasks.
      */
     private static CekkMachine.State startEnactment(List<String> dependencies) {
         Flow.Activity tasks = new Flow.Activity(TASKS_ACTIVITY);
@@ -89,7 +91,7 @@
         return CekkMachine.start(new Flow.Seq(List.of(new Flow.Fork(DEPENDENCIES_JOIN, branches), retriedTasks)));
     }
 
-    /** A pipeline in the same state that changes independently of this one. */
+    /** Returns a pipeline in the same state that can be changed independently of this one. */
     public Pipeline copy() {
         Pipeline copy = new Pipeline(
                 storedSubmission, submittedAt, eligibleAt, enactment, join.copy(), attempts.copy(), retry.copy());
@@ -97,33 +99,37 @@
         return copy;
     }
 
-    /** What the user asked for; without its dependencies once they are satisfied. */
+    /** The user's request; it no longer has dependencies once they are satisfied. */
     public Submission spec() {
         return storedSubmission.submission();
     }
 
-    /** Identifies the job, for users and in the key-value store. */
+    /** The job's id, both for users and in the key-value store. */
     public String jobId() {
         return spec().jobId();
     }
 
-    /** Time of day of the submission, in ms: the deadline counts from it. */
+    /** Time of day of the submission, in ms; the deadline is relative to it. */
     public long submittedAt() {
         return submittedAt;
     }
 
-    /** Time of day in ms from which the job waits for capacity: of its submission, or of the end of its last dependency. */
+    /**
+     * Time of day in ms from which the job waits for capacity: the time of its submission or, if it had dependencies,
+     * the end of the last of them.
+     */
     public long eligibleAt() {
         return eligibleAt;
     }
 
-    /** True while the job waits for dependencies: it has no attempt and takes nothing of its team's share. */
+    /** True while the job waits for dependencies; it then has no attempts and uses nothing of its team's share. */
     public boolean hasUnsatisfiedDependencies() {
         return !spec().dependencies().isEmpty();
     }
 
     /**
-     * All dependencies have succeeded: their branches join (J2), which pops the success stack to the tasks.
+     * Records that all dependencies have succeeded: their branches join (J2), which pops the success stack and makes
+     * the tasks the current activity.
      *
      * @param timeOfDay the time in ms from which the job waits for capacity
      */
@@ -132,61 +138,67 @@
             enactment = CekkMachine.succeeded(enactment, jobId);
         }
         if (!enactment.awaitedActivities().equals(List.of(TASKS_ACTIVITY))) {
-            throw new IllegalStateException(jobId() + " does not go on to its tasks");
+            throw new IllegalStateException(jobId() + ": with its dependencies satisfied, the job awaits "
+                    + enactment.awaitedActivities() + " instead of " + TASKS_ACTIVITY);
         }
-        // The environment of a join that has succeeded is of no further use, and would take space in the value.
+        // The statuses of the dependencies and of their join are no longer needed and would take space in the stored
+        // value.
         enactment = startEnactment(List.of());
         storedSubmission = EncodedSubmission.of(spec().withoutDependencies());
         eligibleAt = timeOfDay;
     }
 
-    /** A dependency was cancelled: its branch fails, and with no other way left the tasks are cancelled. */
+    /**
+     * Records that a dependency was cancelled: its branch fails, and since no alternative is left, the job is
+     * cancelled.
+     */
     public void cancelWithDependency(String dependencyId) {
         enactment = CekkMachine.failed(enactment, dependencyId);
         cancelled |= enactment.failing();
     }
 
-    /** Cancels the job: no task starts from now on, and those that run are stopped. */
+    /** Cancels the job: its tasks no longer start, and its running tasks are stopped. */
     public void cancel() {
         cancelled = true;
     }
 
     /**
-     * Cancels a job whose value, written under larger limits, has become too large to be written with its attempts. Only
-     * their number is kept: it counts against the team's limit until cancel_s after this was stored, by when no task of a
-     * cancelled job is on any machine. Workers end a task that no value lists with their next heartbeat.
+     * Cancels a job whose value was written under larger limits and has become too large to be written with its
+     * attempts. Only the number of the attempts is stored. It counts against the team's limit until cancel_s after the
+     * value was stored; by then, no machine runs a task of a cancelled job. With its next heartbeat, each worker stops
+     * the tasks that no stored value lists.
      */
     public void cancelWithUnlistedAttempts() {
         cancelled = true;
         attempts.unlistAll();
     }
 
-    /** True once the job is cancelled, even while some of its tasks still run. */
+    /** True once the job is cancelled, even while some of its tasks are still running. */
     public boolean cancelled() {
         return cancelled;
     }
 
-    /** True once a cancelled job has no attempt left, so that its terminal record can take the value's place. */
+    /** True once the job is cancelled and has no attempts left, so that its terminal record can replace its value. */
     public boolean cancelledWithoutAttempts() {
         return cancelled && attempts.isEmpty();
     }
 
-    /** Number of attempts that may still be on machines, though the value does not list them. */
+    /** Number of attempts that may still run on machines although the stored value doesn't list them. */
     public int unlistedAttempts() {
         return attempts.unlisted();
     }
 
-    /** The time has passed by which no unlisted attempt is on any machine. */
+    /** Sets the number of unlisted attempts to 0, once the time has passed by which no machine runs any of them. */
     public void clearUnlistedAttempts() {
         attempts.setUnlisted(0);
     }
 
-    /** True once the join has succeeded and the success stack was popped to the empty flow (A2). */
+    /** True once the join of the tasks has succeeded and the success stack has been popped to the empty flow (A2). */
     public boolean succeeded() {
         return enactment.pipelineStatus() == CekkMachine.PipelineStatus.SUCCEEDED;
     }
 
-    /** True once the task, by its index from 0, has completed. */
+    /** True if the task with this index, from 0, is completed. */
     public boolean isTaskCompleted(int task) {
         return join.isCompleted(task);
     }
@@ -196,7 +208,10 @@
         return join.completedTasks();
     }
 
-    /** A task completed: it joins (J2); the last one makes the activity succeed (A2) and pops the success stack. */
+    /**
+     * Records in the join that a task has completed (J2). The last task makes the activity succeed (A2), which pops
+     * the success stack. Does nothing if the task is already completed.
+     */
     public void completeTask(int task) {
         if (succeeded() || isTaskCompleted(task)) {
             return;
@@ -207,7 +222,10 @@
         }
     }
 
-    /** A task failed: the failure stack (A3, O3) sets the job up for another way, on another machine and later. */
+    /**
+     * Records that a task has failed: the failure stack (A3, O3) makes the activity run again, and the job avoids the
+     * machine and starts no task during the backoff.
+     */
     public void recordTaskFailure(String machine, long timeOfDay) {
         if (succeeded()) {
             return;
@@ -221,22 +239,25 @@
         return retry.failures();
     }
 
-    /** Starts no task before the given time of day in ms, after a start that was rejected: that is no failure. */
+    /**
+     * Starts no task before the given time of day in ms. Used after a rejected launch, which doesn't count as a
+     * failure.
+     */
     public void backOffUntil(long timeOfDay) {
         retry.backOffUntil(timeOfDay);
     }
 
-    /** Time of day in ms before which no task starts; 0 where there is no such time. */
+    /** Time of day in ms before which no task starts; 0 if tasks may start at any time. */
     public long notBefore() {
         return retry.notBefore();
     }
 
-    /** True when a task of the job failed on the machine recently. */
+    /** True if the job avoids the machine because one of its tasks failed there recently. */
     public boolean avoids(String machine) {
         return retry.avoids(machine);
     }
 
-    /** Bytes by which the stored join may still grow, at most, as the current attempts complete in any order. */
+    /** Maximum number of bytes by which the stored join can grow while the current attempts complete, in any order. */
     public int joinGrowthBytes() {
         int highestTask = -1;
         for (Attempt attempt : attempts.listed()) {
@@ -245,33 +266,36 @@
         return join.growthBytes(highestTask);
     }
 
-    /** A view of the attempts, at most one for each task. */
+    /** A view of the listed attempts, at most one for each task. */
     public Collection<Attempt> attempts() {
         return attempts.listed();
     }
 
-    /** True when this very attempt is among them. */
+    /** True if the job currently has exactly this attempt. */
     public boolean hasAttempt(Attempt attempt) {
         return attempts.contains(attempt);
     }
 
-    /** Adds the attempt of a task that has none. */
+    /** Adds an attempt of a task that has none. */
     public void addAttempt(Attempt attempt) {
         attempts.add(attempt);
     }
 
-    /** Removes an attempt that was planned but not stored, without a trace. */
+    /** Removes an attempt that was planned but not stored; its number can be used again. */
     public void withdrawAttempt(Attempt attempt) {
         attempts.remove(attempt);
     }
 
-    /** An attempt has ended with its task completed. */
+    /** Removes an attempt that has ended with its task completed, and records the completion. */
     public void completeAttempt(Attempt attempt) {
         attempts.remove(attempt);
         completeTask(attempt.task());
     }
 
-    /** An attempt has ended otherwise: its task may start again, but never under the same number. */
+    /**
+     * Removes an attempt that has ended without completing its task. The task may start again, but never with the same
+     * attempt number.
+     */
     public void retireAttempt(Attempt attempt) {
         attempts.retire(attempt);
     }
@@ -282,14 +306,18 @@
     }
 
     /**
-     * Number for new attempts. The numbers of any one task only grow, since {@link #retireAttempt} goes past the lost one;
-     * tasks that start for the first time share a number, and with it their machine's place in the stored form.
+     * Number for new attempts. The numbers of each task only increase, because {@link #retireAttempt} never reuses the
+     * number of a removed attempt. Tasks that start for the first time share a number, so that those on the same
+     * machine share a placement in the stored form.
      */
     public long nextAttemptNumber() {
         return attempts.nextNumber();
     }
 
-    /** Tasks neither completed nor on a machine, lowest first, at most {@code maxTasks}, within the join's window. */
+    /**
+     * Tasks that are neither completed nor on a machine, in ascending order, at most {@code maxTasks} and within the
+     * join's window; empty if the job is cancelled or has succeeded.
+     */
     public List<Integer> unplacedTasks(int maxTasks) {
         List<Integer> tasks = new ArrayList<>();
         if (cancelled || succeeded()) {
@@ -304,7 +332,7 @@
         return tasks;
     }
 
-    /** Number of tasks neither completed nor on a machine. */
+    /** Number of tasks that are neither completed nor on a machine; 0 if the job is cancelled or has succeeded. */
     public int unplacedTaskCount() {
         if (cancelled || succeeded()) {
             return 0;
@@ -318,13 +346,13 @@
         return spec().tasks() - completedTasks() - placed;
     }
 
-    /** The stored form; the caller may write it, and must not change it. */
+    /** Returns the stored form, which the caller may write but must not modify. */
     public ObjectNode encode() {
         return PipelineCodec.encode(this);
     }
 
     /**
-     * Reads the stored form, of any version that was ever written.
+     * Decodes a stored value of any version that was ever written.
      *
      * @throws IllegalArgumentException if the value is damaged or of an unknown version
      */
@@ -332,7 +360,7 @@
         return PipelineCodec.decode(value);
     }
 
-    /** True when a stored value is that of a cancelled job, without reading the rest of it. */
+    /** True if a stored value is that of a cancelled job; the rest of the value is not decoded. */
     public static boolean isStoredAsCancelled(JsonNode stored) {
         return PipelineCodec.isCancelled(stored);
     }
--- a/src/main/java/org/spoolline/pipeline/PipelineCodec.java
+++ b/src/main/java/org/spoolline/pipeline/PipelineCodec.java
@@ -10,22 +10,24 @@
 import org.spoolline.net.Json;
 
 /**
- * The stored value of a job. Other versions read what this one writes, so names, order and meaning of the fields stay as
- * they are; unknown fields are ignored. There are three versions of it:
+ * Converts a pipeline to and from the stored value of its job. Controllers of other versions read the values that this
+ * version writes, so the names, order and meaning of the fields must not change. Unknown fields are ignored. A stored
+ * value has one of three versions:
  *
  * <ul>
- *   <li>{@link Constants.Job#PIPELINE_VERSION}: a job whose tasks may run, with its attempts as bits;
- *   <li>{@link Constants.Job#PIPELINE_VERSION_DEPENDENT}: a job without listed attempts, since it waits for dependencies
- *       or is cancelled with unlisted attempts;
- *   <li>{@link Constants.Job#PIPELINE_VERSION_LEGACY}: attempts as text; read, and written in the current version with
- *       the job's next step.
+ *   <li>{@link Constants.Job#PIPELINE_VERSION}: a job whose tasks may run, with its attempts as bit strings ({@link
+ *       AttemptsCodec});
+ *   <li>{@link Constants.Job#PIPELINE_VERSION_DEPENDENT}: a job without listed attempts, because it waits for
+ *       dependencies or is cancelled with unlisted attempts;
+ *   <li>{@link Constants.Job#PIPELINE_VERSION_LEGACY}: a job with its attempts as text. This version is only read; the
+ *       next write of the job's value uses the current version.
  * </ul>
  */
 final class PipelineCodec {
     private static final String VERSION = "ver";
     private static final String SUBMISSION = "job";
     private static final String ELIGIBLE_AT = "at";
-    /** Left out where the job was eligible when it was submitted. */
+    /** Omitted if the job was already eligible when it was submitted. */
     private static final String SUBMITTED_AT = "sub";
 
     private static final String CANCELLED = "cancelled";
@@ -41,7 +43,7 @@
 
     private PipelineCodec() {}
 
-    /** The stored form of a pipeline. */
+    /** Returns the stored form of a pipeline. */
     static ObjectNode encode(Pipeline pipeline) {
         int unlisted = pipeline.unlistedAttempts();
         boolean withoutTaskState = pipeline.hasUnsatisfiedDependencies() || unlisted > 0;
@@ -99,7 +101,7 @@
     }
 
     /**
-     * Reads a stored value of any version that was ever written.
+     * Decodes a stored value of any version that was ever written.
      *
      * @throws IllegalArgumentException if the value is damaged or of an unknown version
      */
@@ -113,7 +115,7 @@
         };
     }
 
-    /** True when a stored value is that of a cancelled job, without reading the rest of it. */
+    /** True if a stored value is that of a cancelled job; the rest of the value is not decoded. */
     static boolean isCancelled(JsonNode value) {
         return value.path(CANCELLED).asBoolean();
     }
@@ -135,8 +137,8 @@
     }
 
     /**
-     * A job that waits for dependencies, whose submission is all that is stored since its state is derived from other
-     * jobs; or a cancelled one whose attempts are not listed.
+     * Decodes a job whose value has no task state: either a job that waits for dependencies, of which only the
+     * submission is stored because its state is derived from other jobs, or a cancelled job with unlisted attempts.
      */
     private static Pipeline decodeWithoutTaskState(JsonNode value) {
         Pipeline pipeline = Pipeline.accept(
@@ -147,7 +149,8 @@
             pipeline.cancel();
         }
         if (!pipeline.hasUnsatisfiedDependencies() && pipeline.unlistedAttempts() <= 0) {
-            throw new IllegalArgumentException("stored pipeline neither waits nor has unlisted attempts");
+            throw new IllegalArgumentException(
+                    "stored pipeline without task state has neither dependencies nor unlisted attempts");
         }
         return pipeline;
     }
@@ -176,7 +179,10 @@
                 value.path(FAILURES).asInt(), value.path(NOT_BEFORE).asLong(), avoided);
     }
 
-    /** The legacy form: a group is an array of machine, incarnation, number and tasks, such as {@code "0-2,7"}. */
+    /**
+     * Decodes attempts in the legacy form: each group is an array of a machine, its incarnation, an attempt number and
+     * a list of tasks such as {@code "0-2,7"}.
+     */
     private static void decodeLegacyAttempts(JsonNode groups, TaskAttempts attempts) {
         for (JsonNode group : groups) {
             String machine = group.path(0).asText();
--- a/src/main/java/org/spoolline/pipeline/RetryState.java
+++ b/src/main/java/org/spoolline/pipeline/RetryState.java
@@ -6,9 +6,10 @@
 import org.spoolline.config.Constants;
 
 /**
- * What a job remembers of its failed tasks: when it may start tasks again, and on which machines it had better not.
+ * The effect of a job's task failures and rejected launches on its next placements: the time from which tasks may
+ * start again, and the machines to avoid.
  *
- * <p>Mutable and not safe for threads: it belongs to one {@link Pipeline}.
+ * <p>Mutable and not thread-safe: each instance belongs to one {@link Pipeline}.
  */
 final class RetryState {
     private int failures;
@@ -17,11 +18,11 @@
     private final Set<String> avoidedMachines;
 
     /**
-     * Continues the retries of a job.
+     * Restores the retry state of a job.
      *
-     * @param failures        number of failures so far
+     * @param failures        number of task failures so far
      * @param notBefore       time of day in ms from which tasks may start; 0 for any time
-     * @param avoidedMachines in the order of their failures; owned by the state from now on
+     * @param avoidedMachines in the order of their failures; owned by this object from now on
      */
     RetryState(int failures, long notBefore, LinkedHashSet<String> avoidedMachines) {
         this.failures = failures;
@@ -29,7 +30,7 @@
         this.avoidedMachines = avoidedMachines;
     }
 
-    /** The state of a job of which no task has failed. */
+    /** Returns the state of a job without task failures. */
     static RetryState empty() {
         return new RetryState(0, 0, new LinkedHashSet<>());
     }
@@ -38,7 +39,10 @@
         return new RetryState(failures, notBefore, new LinkedHashSet<>(avoidedMachines));
     }
 
-    /** Backs off exponentially, up to a limit, and avoids the machine; the machine avoided longest may be used again. */
+    /**
+     * Delays the next start of a task by an exponential backoff, up to a limit, and avoids the machine. If there are
+     * too many machines to avoid, the one avoided longest may be used again.
+     */
     void recordFailure(String machine, long timeOfDay) {
         int doublings = Math.min(failures, Constants.Job.FAILURE_BACKOFF_DOUBLINGS);
         failures++;
@@ -49,7 +53,7 @@
         }
     }
 
-    /** Starts no task before the given time, without counting a failure. */
+    /** Starts no task before the given time of day in ms, without counting a failure. */
     void backOffUntil(long timeOfDay) {
         notBefore = Math.max(notBefore, timeOfDay);
     }
--- a/src/main/java/org/spoolline/pipeline/Submission.java
+++ b/src/main/java/org/spoolline/pipeline/Submission.java
@@ -5,20 +5,20 @@
 import java.util.Set;
 
 /**
- * What a user asked for, checked: see {@link SubmissionCodec} for its wire form and the checks.
+ * A user's request to run a job, already checked; see {@link SubmissionCodec} for its wire form and the checks.
  *
  * @param jobId            identifies the job, chosen by the user
- * @param jobClass         the kind of work, for statistics of the users
- * @param team             the team whose quota and fair share it counts against
- * @param shape            how its tasks belong together
- * @param priority         how urgent it is
- * @param tasks            number of tasks, from 1
- * @param resources        what each task takes of its machine
+ * @param jobClass         the kind of work, for the users' statistics
+ * @param team             the team whose quota and fair share the job counts against
+ * @param shape            how the job's tasks relate to one another
+ * @param priority         the job's priority
+ * @param tasks            number of tasks, at least 1
+ * @param resources        what each task uses of its machine
  * @param placement        where tasks may run
- * @param estimateS        seconds that a task is expected to run
+ * @param estimateS        expected run time of a task in seconds
  * @param checkpointPolicy how tasks save their progress
- * @param deadlineS        seconds from the submission by which the job should be done; empty for no deadline
- * @param dependencies     ids of the jobs that must succeed before any task of this one starts, each once
+ * @param deadlineS        seconds from the submission within which the job should be done; empty for no deadline
+ * @param dependencies     ids of the jobs that must succeed before any task of this job starts, without duplicates
  */
 public record Submission(
         String jobId,
@@ -34,14 +34,14 @@
         OptionalDouble deadlineS,
         List<String> dependencies) {
 
-    /** Independent tasks; tasks that run together or not at all; tasks kept running until the user cancels. */
+    /** Independent tasks; tasks that run together or not at all; tasks that run until the user cancels the job. */
     public enum Shape {
         ARRAY,
         GANG,
         SERVICE
     }
 
-    /** From least to most urgent. */
+    /** Priorities from least to most urgent. */
     public enum Priority {
         BEST_EFFORT,
         STANDARD,
@@ -49,7 +49,7 @@
         CRITICAL
     }
 
-    /** The same job without dependencies, once they have all succeeded. */
+    /** Returns the same submission without dependencies, for use once all of them have succeeded. */
     Submission withoutDependencies() {
         return new Submission(
                 jobId,
@@ -96,64 +96,69 @@
         return resources.imageGb();
     }
 
-    /** Names of the only machine types allowed, or null where any is. */
+    /** Names of the allowed machine types, or null if all are allowed. */
     public Set<String> machineTypes() {
         return placement.machineTypes();
     }
 
-    /** The only zone allowed, or null where any is. */
+    /** The only allowed zone, or null if all are allowed. */
     public String zone() {
         return placement.zone();
     }
 
-    /** True when all tasks must run in one zone. */
+    /** True if all tasks must run in the same zone. */
     public boolean singleZone() {
         return placement.singleZone();
     }
 
-    /** True when the tasks must be spread, see {@link #maxTasksPerZone}. */
+    /** True if the tasks must be spread over zones, see {@link #maxTasksPerZone}. */
     public boolean spreadAcrossZones() {
         return placement.spreadAcrossZones();
     }
 
-    /** True when spot machines may be used. */
+    /** True if tasks may run on spot machines. */
     public boolean allowsSpot() {
         return placement.allowsSpot();
     }
 
-    /** True for tasks that save their progress when they are stopped with enough grace. */
+    /** True if the tasks save a checkpoint when they are stopped with a sufficient grace period. */
     public boolean checkpoints() {
         return checkpointPolicy.isEnabled();
     }
 
-    /** Seconds of run time between two checkpoints; 0 where the tasks save none. */
+    /** Seconds of run time between two checkpoints; 0 if the tasks save none. */
     public double checkpointIntervalS() {
         return checkpointPolicy.intervalS();
     }
 
-    /** Seconds that it takes to save a checkpoint. */
+    /** Seconds that saving a checkpoint takes. */
     public double checkpointSaveS() {
         return checkpointPolicy.saveS();
     }
 
-    /** Seconds of grace with which a task is stopped: enough to save, none where nothing is saved. */
+    /** Grace period in seconds for stopping a task: enough to save a checkpoint, 0 if the tasks save none. */
     public double stopGraceS() {
         return checkpointPolicy.stopGraceS();
     }
 
-    /** Seconds of run time that are lost when a task is stopped without grace after so many. */
+    /**
+     * Seconds of work that are lost when a task that has run for {@code runTimeS} is stopped without a grace period.
+     */
     public double workSinceCheckpointS(double runTimeS) {
         return checkpointPolicy.workSinceCheckpointS(runTimeS);
     }
 
-    /** Seconds of run time that are lost, on average, when one task's machine vanishes; a gang loses them in each task. */
+    /**
+     * Average run time in seconds that is lost when the machine of one task fails. For a gang, this is the sum over
+     * all of its tasks, because each of them loses its work.
+     */
     public double expectedLossS() {
         double intervalS = checkpoints() ? Math.min(checkpointPolicy.intervalS(), estimateS) : estimateS;
         double lossPerTaskS = intervalS / 2;
         return gang() ? lossPerTaskS * tasks : lossPerTaskS;
     }
 
-    /** At most so many of the tasks may be in one zone. */
+    /** Maximum number of the job's tasks in one zone. */
     public int maxTasksPerZone() {
         return placement.spreadAcrossZones() ? (tasks + 1) / 2 : tasks;
     }
--- a/src/main/java/org/spoolline/pipeline/SubmissionCodec.java
+++ b/src/main/java/org/spoolline/pipeline/SubmissionCodec.java
@@ -15,8 +15,9 @@
 import org.spoolline.pipeline.Submission.Shape;
 
 /**
- * A submission's wire form: checked when a user sends it, and kept in the stored value of the job under the same names.
- * The names are the users' and mapped to those of {@link Submission} here only.
+ * Converts submissions to and from their wire form. The wire form is checked when a user sends it, and stored in the
+ * job's value with the same field names. The names belong to the users' protocol, and only this class maps them to
+ * those of {@link Submission}.
  */
 public final class SubmissionCodec {
     private static final String JOB_ID = "uid";
@@ -53,7 +54,7 @@
 
     private static final Pattern JOB_ID_FORM = Pattern.compile("run-[0-9]{1,30}");
 
-    /** The submission is malformed; the message, which is for the user, names the field. Has no stack trace. */
+    /** Thrown for a malformed submission. The message is for the user and names the field. Has no stack trace. */
     public static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -64,37 +65,37 @@
 
     private SubmissionCodec() {}
 
-    /** True when the text has the form of a job's id, whether or not there is such a job. */
+    /** True if the text has the form of a job id, whether or not the job exists. */
     public static boolean isValidJobId(String jobId) {
         return JOB_ID_FORM.matcher(jobId).matches();
     }
 
     /**
-     * Parses and checks a user's body; unknown fields are ignored. The order of the checks decides which of several
-     * malformed fields the user learns of.
+     * Parses and checks the body of a user's request; unknown fields are ignored. The order of the checks determines
+     * which one of several malformed fields is reported to the user.
      *
-     * @throws Malformed at the first field that isn't well-formed
+     * @throws Malformed for the first malformed field
      */
     public static Submission parse(JsonNode body) throws Malformed {
         if (!body.isObject()) {
             throw new Malformed("the body is not a JSON object");
         }
-        FieldReader in = new FieldReader(body);
-        String jobId = jobId(in);
-        Shape shape = in.constant(SHAPE, SHAPES);
-        Priority priority = in.constant(PRIORITY, PRIORITIES);
-        int tasks = taskCount(in);
-        Set<String> machineTypes = machineTypes(in);
-        String zone = zone(in);
-        double cores = cores(in);
-        OptionalDouble deadlineS = deadlineS(in);
-        String jobClass = in.text(JOB_CLASS);
-        String team = in.text(TEAM);
-        TaskResources resources = resources(in, cores);
-        PlacementConstraints placement = placement(in, machineTypes, zone);
-        double estimateS = in.amount(ESTIMATE_S);
-        CheckpointPolicy checkpointPolicy = checkpointPolicy(in);
-        List<String> dependencies = dependencies(in);
+        FieldReader fields = new FieldReader(body);
+        String jobId = jobId(fields);
+        Shape shape = fields.constant(SHAPE, SHAPES);
+        Priority priority = fields.constant(PRIORITY, PRIORITIES);
+        int tasks = taskCount(fields);
+        Set<String> machineTypes = machineTypes(fields);
+        String zone = zone(fields);
+        double cores = cores(fields);
+        OptionalDouble deadlineS = deadlineS(fields);
+        String jobClass = fields.text(JOB_CLASS);
+        String team = fields.text(TEAM);
+        TaskResources resources = resources(fields, cores);
+        PlacementConstraints placement = placement(fields, machineTypes, zone);
+        double estimateS = fields.nonNegativeNumber(ESTIMATE_S);
+        CheckpointPolicy checkpointPolicy = checkpointPolicy(fields);
+        List<String> dependencies = dependencies(fields);
         return new Submission(
                 jobId,
                 jobClass,
@@ -111,9 +112,9 @@
     }
 
     /**
-     * Reads a stored form, which was checked before it was stored.
+     * Decodes the stored form of a submission, which was checked before it was stored.
      *
-     * @throws IllegalArgumentException if it is damaged
+     * @throws IllegalArgumentException if the stored form is damaged
      */
     public static Submission decodeStored(JsonNode stored) {
         try {
@@ -123,9 +124,9 @@
         }
     }
 
-    /** The compact stored form: the known fields only, in an order that stays the same. */
+    /** Returns the compact stored form: only the known fields, always in the same order. */
     public static ObjectNode encode(Submission submission) {
-        ObjectNode out = Json.object()
+        ObjectNode encoded = Json.object()
                 .put(JOB_ID, submission.jobId())
                 .put(JOB_CLASS, submission.jobClass())
                 .put(TEAM, submission.team())
@@ -143,37 +144,37 @@
                 .put(ESTIMATE_S, submission.estimateS())
                 .put(CHECKPOINT_INTERVAL_S, submission.checkpointIntervalS())
                 .put(CHECKPOINT_SAVE_S, submission.checkpointSaveS());
-        encodeOptionalFields(submission, out);
-        return out;
+        encodeOptionalFields(submission, encoded);
+        return encoded;
     }
 
-    private static void encodeOptionalFields(Submission submission, ObjectNode out) {
+    private static void encodeOptionalFields(Submission submission, ObjectNode encoded) {
         if (submission.machineTypes() != null) {
-            ArrayNode machineTypes = out.putArray(MACHINE_TYPES);
+            ArrayNode machineTypes = encoded.putArray(MACHINE_TYPES);
             submission.machineTypes().forEach(machineTypes::add);
         }
         if (submission.zone() != null) {
-            out.put(ZONE, submission.zone());
+            encoded.put(ZONE, submission.zone());
         }
         if (submission.deadlineS().isPresent()) {
-            out.put(DEADLINE_S, submission.deadlineS().getAsDouble());
+            encoded.put(DEADLINE_S, submission.deadlineS().getAsDouble());
         }
         if (!submission.dependencies().isEmpty()) {
-            ArrayNode dependencies = out.putArray(DEPENDENCIES);
+            ArrayNode dependencies = encoded.putArray(DEPENDENCIES);
             submission.dependencies().forEach(dependencies::add);
         }
     }
 
-    private static String jobId(FieldReader in) throws Malformed {
-        String jobId = in.text(JOB_ID);
+    private static String jobId(FieldReader fields) throws Malformed {
+        String jobId = fields.text(JOB_ID);
         if (!isValidJobId(jobId)) {
             throw new Malformed(JOB_ID);
         }
         return jobId;
     }
 
-    private static int taskCount(FieldReader in) throws Malformed {
-        JsonNode tasks = in.value(TASKS);
+    private static int taskCount(FieldReader fields) throws Malformed {
+        JsonNode tasks = fields.value(TASKS);
         if (!tasks.isIntegralNumber()
                 || !tasks.canConvertToInt()
                 || tasks.asInt() < 1
@@ -183,46 +184,51 @@
         return tasks.asInt();
     }
 
-    private static double cores(FieldReader in) throws Malformed {
-        double cores = in.amount(CORES);
+    private static double cores(FieldReader fields) throws Malformed {
+        double cores = fields.nonNegativeNumber(CORES);
         if (cores <= 0) {
             throw new Malformed(CORES);
         }
         return cores;
     }
 
-    private static TaskResources resources(FieldReader in, double cores) throws Malformed {
-        double accelerators = in.amount(ACCELERATORS);
-        double memoryGb = in.amount(MEMORY_GB);
-        String image = in.text(IMAGE);
-        double imageGb = in.amount(IMAGE_GB);
+    private static TaskResources resources(FieldReader fields, double cores) throws Malformed {
+        double accelerators = fields.nonNegativeNumber(ACCELERATORS);
+        double memoryGb = fields.nonNegativeNumber(MEMORY_GB);
+        String image = fields.text(IMAGE);
+        double imageGb = fields.nonNegativeNumber(IMAGE_GB);
         return new TaskResources(cores, accelerators, memoryGb, image, imageGb);
     }
 
-    private static PlacementConstraints placement(FieldReader in, Set<String> machineTypes, String zone)
+    private static PlacementConstraints placement(FieldReader fields, Set<String> machineTypes, String zone)
             throws Malformed {
-        boolean singleZone = in.flag(SINGLE_ZONE);
-        boolean spreadAcrossZones = in.flag(SPREAD_ACROSS_ZONES);
-        boolean allowsSpot = in.flag(ALLOWS_SPOT);
+        boolean singleZone = fields.flag(SINGLE_ZONE);
+        boolean spreadAcrossZones = fields.flag(SPREAD_ACROSS_ZONES);
+        boolean allowsSpot = fields.flag(ALLOWS_SPOT);
         return new PlacementConstraints(machineTypes, zone, singleZone, spreadAcrossZones, allowsSpot);
     }
 
-    private static CheckpointPolicy checkpointPolicy(FieldReader in) throws Malformed {
-        double intervalS = in.amount(CHECKPOINT_INTERVAL_S);
-        double saveS = in.amount(CHECKPOINT_SAVE_S);
+    private static CheckpointPolicy checkpointPolicy(FieldReader fields) throws Malformed {
+        double intervalS = fields.nonNegativeNumber(CHECKPOINT_INTERVAL_S);
+        double saveS = fields.nonNegativeNumber(CHECKPOINT_SAVE_S);
         return new CheckpointPolicy(intervalS, saveS);
     }
 
-    private static OptionalDouble deadlineS(FieldReader in) throws Malformed {
-        return in.isAbsent(DEADLINE_S) ? OptionalDouble.empty() : OptionalDouble.of(in.amount(DEADLINE_S));
+    private static OptionalDouble deadlineS(FieldReader fields) throws Malformed {
+        return fields.isAbsent(DEADLINE_S)
+                ? OptionalDouble.empty()
+                : OptionalDouble.of(fields.nonNegativeNumber(DEADLINE_S));
     }
 
-    /** The machine types in the user's order, or null for any; a list without one would allow no machine at all. */
-    private static Set<String> machineTypes(FieldReader in) throws Malformed {
-        if (in.isAbsent(MACHINE_TYPES)) {
+    /**
+     * The allowed machine types in the user's order, or null if all are allowed. An empty list is malformed, because
+     * it would allow no machine at all.
+     */
+    private static Set<String> machineTypes(FieldReader fields) throws Malformed {
+        if (fields.isAbsent(MACHINE_TYPES)) {
             return null;
         }
-        JsonNode names = in.value(MACHINE_TYPES);
+        JsonNode names = fields.value(MACHINE_TYPES);
         if (!names.isArray() || names.isEmpty()) {
             throw new Malformed(MACHINE_TYPES);
         }
@@ -236,24 +242,24 @@
         return machineTypes;
     }
 
-    /** The zone, or null for any. */
-    private static String zone(FieldReader in) throws Malformed {
-        if (in.isAbsent(ZONE)) {
+    /** The only allowed zone, or null if all are allowed. */
+    private static String zone(FieldReader fields) throws Malformed {
+        if (fields.isAbsent(ZONE)) {
             return null;
         }
-        JsonNode zone = in.value(ZONE);
+        JsonNode zone = fields.value(ZONE);
         if (!FieldReader.isNonEmptyText(zone)) {
             throw new Malformed(ZONE);
         }
         return zone.asText();
     }
 
-    /** The ids of the jobs to wait for, each once; null, absent and empty all mean none. */
-    private static List<String> dependencies(FieldReader in) throws Malformed {
-        if (in.isAbsent(DEPENDENCIES)) {
+    /** The ids of the jobs to wait for, without duplicates; empty if the field is missing, null or an empty list. */
+    private static List<String> dependencies(FieldReader fields) throws Malformed {
+        if (fields.isAbsent(DEPENDENCIES)) {
             return List.of();
         }
-        JsonNode ids = in.value(DEPENDENCIES);
+        JsonNode ids = fields.value(DEPENDENCIES);
         if (!ids.isArray()) {
             throw new Malformed(DEPENDENCIES);
         }
--- a/src/main/java/org/spoolline/pipeline/TaskAttempts.java
+++ b/src/main/java/org/spoolline/pipeline/TaskAttempts.java
@@ -6,21 +6,21 @@
 import org.spoolline.config.Constants;
 
 /**
- * The current attempts of a job's tasks, at most one for each task, and the numbers that new ones get.
+ * The current attempts of a job's tasks, at most one for each task, and the number for new attempts.
  *
- * <p>Mutable and not safe for threads: it belongs to one {@link Pipeline}.
+ * <p>Mutable and not thread-safe: each instance belongs to one {@link Pipeline}.
  */
 final class TaskAttempts {
-    /** With iterators of their own: a cached one would break when loops over the same attempts nest. */
+    /** Off, because nested loops over the same attempts would break a cached iterator. */
     private static final boolean CACHE_ITERATORS = false;
 
     private final Int2ObjectHashMap<Attempt> byTask;
-    /** A number that no attempt's exceeds; 0 until the first task is placed. */
+    /** Upper bound (inclusive) of the attempts' numbers; 0 until the first task is placed. */
     private long highestNumber;
-    /** Attempts of a cancelled job that are too many for its value to list. */
+    /** Number of attempts of a cancelled job whose value has no room to list them. */
     private int unlisted;
 
-    /** No attempts, of a job for which numbers up to the given one were used. */
+    /** Creates the attempts of a job that has none now and has used numbers up to {@code highestNumber}. */
     TaskAttempts(long highestNumber) {
         this(
                 new Int2ObjectHashMap<>(Constants.Job.INITIAL_ATTEMPTS, Hashing.DEFAULT_LOAD_FACTOR, CACHE_ITERATORS),
@@ -43,7 +43,7 @@
         return byTask.values();
     }
 
-    /** True when this very attempt is among the listed ones. */
+    /** True if exactly this attempt is among the listed ones. */
     boolean contains(Attempt attempt) {
         return attempt.equals(byTask.get(attempt.task()));
     }
@@ -52,7 +52,7 @@
         return byTask.containsKey(task);
     }
 
-    /** True when no attempt may be on any machine, listed or not. */
+    /** True if no machine can be running an attempt, listed or not. */
     boolean isEmpty() {
         return byTask.isEmpty() && unlisted == 0;
     }
@@ -68,13 +68,13 @@
         }
     }
 
-    /** Removes the attempt and makes sure that its number isn't used again. */
+    /** Removes the attempt and ensures that its number isn't used again. */
     void retire(Attempt attempt) {
         remove(attempt);
         highestNumber = Math.max(highestNumber, attempt.number() + 1);
     }
 
-    /** The number of new attempts, at least 1: the same until {@link #retire} goes past it. */
+    /** Returns the number for new attempts, at least 1. It stays the same until {@link #retire} makes it unusable. */
     long nextNumber() {
         highestNumber = Math.max(highestNumber, 1);
         return highestNumber;
@@ -84,7 +84,7 @@
         return highestNumber;
     }
 
-    /** Keeps the number of the attempts, and no longer which they are. */
+    /** Replaces the listed attempts by their count. */
     void unlistAll() {
         unlisted += byTask.size();
         byTask.clear();
--- a/src/main/java/org/spoolline/pipeline/TaskJoin.java
+++ b/src/main/java/org/spoolline/pipeline/TaskJoin.java
@@ -4,29 +4,32 @@
 import org.spoolline.config.Constants;
 
 /**
- * The join (J2) of the fork over a job's tasks, which is too wide for a frame and a count each. All tasks below a mark
- * are completed; beyond it a window of {@link Constants.Job#JOIN_WINDOW} tasks says of each whether it is. That bounds
- * the stored size whatever the number of tasks and the order in which they complete.
+ * The join (J2) of the fork over a job's tasks. A job can have too many tasks to store a stack frame and a count for
+ * each. Instead, the join has a low watermark, below which all tasks are completed, and a window of {@link
+ * Constants.Job#JOIN_WINDOW} tasks from the watermark on, with one bit for each task that tells whether it is
+ * completed. This bounds the stored size for any number of tasks and any order in which they complete.
  *
- * <p>Mutable and not safe for threads: it belongs to one {@link Pipeline}.
+ * <p>Mutable and not thread-safe: each instance belongs to one {@link Pipeline}.
  */
 final class TaskJoin {
     private int completedBelow;
-    /** Completed tasks from the mark on, by their distance to it; the task at the mark is never among them. */
+    /**
+     * Completed tasks above the low watermark, by their distance to it; the task at the watermark is never completed.
+     */
     private final BitSet window;
 
     /**
-     * Continues a join.
+     * Restores a join.
      *
-     * @param completedBelow the mark: all tasks with a lower index are completed
-     * @param window         the tasks that are completed from the mark on; owned by the join from now on
+     * @param completedBelow the low watermark: all tasks with a lower index are completed
+     * @param window         the completed tasks from the watermark on; owned by the join from now on
      */
     TaskJoin(int completedBelow, BitSet window) {
         this.completedBelow = completedBelow;
         this.window = window;
     }
 
-    /** The join of a job of which no task is completed. */
+    /** Returns the join of a job without completed tasks. */
     static TaskJoin empty() {
         return new TaskJoin(0, new BitSet());
     }
@@ -39,7 +42,7 @@
         return completedBelow;
     }
 
-    /** End (exclusive) of the tasks that may start now, so that the window keeps within its limit. */
+    /** End (exclusive) of the tasks that may start now without exceeding the size limit of the window. */
     int windowEnd(int tasks) {
         return Math.min(tasks, completedBelow + Constants.Job.JOIN_WINDOW);
     }
@@ -52,7 +55,10 @@
         return completedBelow + window.cardinality();
     }
 
-    /** Marks a task that is not completed yet, and moves the mark past all that are completed without a gap. */
+    /**
+     * Records a task that was not completed before, and moves the low watermark to the first task that isn't
+     * completed.
+     */
     void complete(int task) {
         window.set(task - completedBelow);
         int advance = window.nextClearBit(0);
@@ -68,14 +74,14 @@
         return window.isEmpty();
     }
 
-    /** The window's stored form: bit i of the little-endian bytes is the task at the mark plus i. */
+    /** The window's stored form: bit i of the little-endian bytes stands for the task at the low watermark plus i. */
     byte[] windowBytes() {
         return window.toByteArray();
     }
 
     /**
-     * Bytes by which the stored window may still grow, at most, while the given task and all in the window complete in
-     * any order.
+     * Maximum number of bytes by which the stored window can grow while the given task and all tasks in the window
+     * complete, in any order.
      *
      * @param highestTask highest index of the tasks that may complete, or -1 for none
      */
@@ -84,7 +90,7 @@
         return base64Length(windowLength) - base64Length(window.length());
     }
 
-    /** Characters of so many bits in Base64 without padding. */
+    /** Number of characters that so many bits take in Base64 without padding. */
     private static int base64Length(int bits) {
         int bytes = (bits + Byte.SIZE - 1) / Byte.SIZE;
         return (bytes * 4 + 2) / 3;
--- a/src/main/java/org/spoolline/pipeline/WireNames.java
+++ b/src/main/java/org/spoolline/pipeline/WireNames.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The names that an enum's constants have on the wire, both ways. */
+/** Maps the constants of an enum to their names on the wire, and back. */
 final class WireNames<E extends Enum<E>> {
     private final Map<String, E> constants;
     private final Map<E, String> names;
 
-    /** Maps each name to its constant; every constant of the type needs one name. */
+    /** Creates a mapping from each name to its constant; every constant of the type must have exactly one name. */
     WireNames(Class<E> type, Map<String, E> constants) {
         this.constants = constants;
         names = new EnumMap<>(type);
         constants.forEach((name, constant) -> names.put(constant, name));
     }
 
-    /** The constant of this name, or empty where no constant has it. */
+    /** Returns the constant with this name, or empty if there is none. */
     Optional<E> constantOf(String name) {
         return Optional.ofNullable(constants.get(name));
     }
--- a/src/test/java/org/spoolline/pipeline/CekkTest.java
+++ b/src/test/java/org/spoolline/pipeline/CekkTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules of the CEKK machine on small pipelines. */
+/** The rules of the CEKK machine, applied to small pipelines. */
 class CekkTest {
     private static Flow activity(String name) {
         return new Flow.Activity(name);
--- a/src/test/java/org/spoolline/pipeline/DependentPipelineTest.java
+++ b/src/test/java/org/spoolline/pipeline/DependentPipelineTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.spoolline.net.Json;
 
-/** A job that waits for others, as one stored value. */
+/**  Stored values of jobs with dependencies and of cancelled jobs with unlisted attempts. */
 class DependentPipelineTest {
     private static ObjectNode body(int tasks, String... dependencies) {
         ObjectNode body = PipelineTest.body(tasks).put("uid", "run-000009").put("dueS", 90);
@@ -76,7 +76,11 @@
         assertTrue(pipeline.cancelledWithoutAttempts());
     }
 
-    /** A value that was filled up once grew past its limit as tasks ended from the last to the first. */
+    /**
+     * Guards against a value that is within its limit when it is full of attempts and exceeds the limit while they
+     * complete. This can happen when tasks complete from the last to the first, because the stored window of the join
+     * grows meanwhile.
+     */
     @Test
     void completionsInAnyOrderKeepValueWithinPredictedGrowth() throws Exception {
         for (int seed = 0; seed < 20; seed++) {
--- a/src/test/java/org/spoolline/pipeline/PipelineTest.java
+++ b/src/test/java/org/spoolline/pipeline/PipelineTest.java
@@ -14,9 +14,9 @@
 import org.spoolline.config.Constants;
 import org.spoolline.net.Json;
 
-/** A job as one stored value. */
+/** A job's pipeline and its stored value. */
 class PipelineTest {
-    /** A submission's body, without dependencies. */
+    /** Body of a valid submission without dependencies. */
     static ObjectNode body(int tasks) {
         return Json.object()
                 .put("uid", "run-000001")
@@ -78,13 +78,15 @@
         assertTrue(decoded.avoids("m-9"));
         assertEquals(pipeline.notBefore(), decoded.notBefore());
         assertEquals(6, decoded.unplacedTaskCount());
-        // Tasks that never started may share a number; one that has been lost gets a higher one.
+        // Tasks that have never started share a number; a task whose attempt was retired gets a higher one.
         assertEquals(number, decoded.nextAttemptNumber());
         decoded.retireAttempt(new Attempt(7, number, "m-1", 4));
         assertEquals(number + 1, decoded.nextAttemptNumber());
     }
 
-    /** An array over hundreds of machines once had its placements cut short because its value was full. */
+    /**
+     * Guards against placements of an array over hundreds of machines being cut short because the job's value is full.
+     */
     @Test
     void arrayOnRandomMachinesFitsOneValue() throws Exception {
         SplittableRandom random = new SplittableRandom(2);
@@ -118,7 +120,7 @@
                 new HashSet<>(placed), new HashSet<>(encodeAndDecode(pipeline).attempts()));
     }
 
-    /** A leader of this version takes over jobs that one of the version before has stored. */
+    /** Guards against a leader of this version that can't read the jobs stored by the previous version. */
     @Test
     void decodesLegacyVersion() throws Exception {
         ObjectNode legacy = pipeline(10)
@@ -151,7 +153,7 @@
         while (!pipeline.succeeded()) {
             var unplaced = pipeline.unplacedTasks(5_000);
             for (int i = 0; i < unplaced.size(); i++) {
-                // Odd tasks first: the worst case for runs of done tasks.
+                // Odd tasks first: the worst case for an encoding of completed tasks as runs.
                 if (unplaced.get(i) % 2 == 1 || random.nextInt(3) == 0 || unplaced.size() < 100) {
                     pipeline.completeTask(unplaced.get(i));
                 }
@@ -187,11 +189,11 @@
                     field,
                     assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.parse(missing))
                             .getMessage());
-            ObjectNode wrong = body(1);
-            wrong.putArray(field);
+            ObjectNode wrongType = body(1);
+            wrongType.putArray(field);
             assertEquals(
                     field,
-                    assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.parse(wrong))
+                    assertThrows(SubmissionCodec.Malformed.class, () -> SubmissionCodec.parse(wrongType))
                             .getMessage());
         }
         for (int slips : new int[] {0, -1, 100_001}) {
--- a/src/test/java/org/spoolline/pipeline/SampleSubmissions.java
+++ b/src/test/java/org/spoolline/pipeline/SampleSubmissions.java
@@ -3,14 +3,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.spoolline.net.Json;
 
-/** Bodies of submissions that name every required field. */
+/** Bodies of submissions that contain every required field. */
 public final class SampleSubmissions {
     private SampleSubmissions() {}
 
     /**
-     * A job of standard priority without checkpoints, whose tasks may run anywhere; the caller may set further fields.
+     * Body of a job of standard priority without checkpoints, whose tasks may run on any machine; the caller may set
+     * further fields.
      *
-     * @param shape the users' word for an array or a gang
+     * @param shape the wire name of the job's shape, such as {@code batch} for an array or {@code group} for a gang
      */
     public static ObjectNode body(String jobId, String team, String shape, int tasks, double cores) {
         return Json.object()
@@ -33,7 +34,7 @@
                 .put("stashS", 0);
     }
 
-    /** An accepted array without attempts. */
+    /** Pipeline of an accepted array job without attempts. */
     public static Pipeline acceptedArray(String jobId, String team, int tasks, double cores) {
         ObjectNode body = body(jobId, team, "batch", tasks, cores);
         try {
