--- a/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
@@ -154,7 +154,7 @@
         Machine machine = machines.get(attempt.machine());
         TerminationProof.Assessment assessment = terminationProof.assess(jobId, attempt, machine, loop.now());
         if (earlierDecisions.isReleased(attempt) && assessment.state() != TerminationProof.AttemptState.EXITED) {
-            draft.mutableCopy().loseAttempt(attempt);
+            draft.mutableCopy().retireAttempt(attempt);
             return;
         }
         boolean stopRequested = committed.cancelled()
@@ -168,12 +168,12 @@
             }
             case EXITED -> exits.apply(draft.mutableCopy(), attempt, machine, assessment.status());
             case TERMINATED -> {
-                draft.mutableCopy().loseAttempt(attempt);
+                draft.mutableCopy().retireAttempt(attempt);
                 lost.add(attempt, assessment.proof(), machine);
             }
             case ABSENT -> {
                 if (stopRequested || earlierDecisions.teamExceedsQuota()) {
-                    draft.mutableCopy().loseAttempt(attempt);
+                    draft.mutableCopy().retireAttempt(attempt);
                 }
             }
             case UNKNOWN -> {}
--- a/src/main/java/org/spoolline/reconcile/GangReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/GangReconciler.java
@@ -45,7 +45,7 @@
             TerminationProof.Assessment assessment =
                     proof.assess(gang.jobId(), attempt, machines.get(attempt.machine()), loop.now());
             if (assessment.state() == TerminationProof.AttemptState.ABSENT) {
-                draft.mutableCopy().loseAttempt(attempt);
+                draft.mutableCopy().retireAttempt(attempt);
             }
         }
     }
--- a/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
+++ b/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
@@ -47,10 +47,10 @@
         machine.recordTaskCompletion();
         if (job.spec().shape() == Submission.Shape.SERVICE) {
             // A service never completes: its tasks are placed again until the user cancels the job.
-            job.loseAttempt(attempt);
+            job.retireAttempt(attempt);
             backOff(job);
         } else if (job.cancelled()) {
-            job.loseAttempt(attempt);
+            job.retireAttempt(attempt);
         } else {
             if (job.spec().gang()) {
                 completeGang(job);
@@ -74,7 +74,7 @@
      * jobs, because a single job that fails on every machine indicates no fault of the machine.
      */
     private void applyFailure(Pipeline job, Attempt attempt, Machine machine) {
-        job.loseAttempt(attempt);
+        job.retireAttempt(attempt);
         LOG.info(
                 "Task failed: job={} task={} attempt={} machine={}",
                 job.jobId(),
@@ -90,7 +90,7 @@
     }
 
     private void applyLaunchRejection(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
-        job.loseAttempt(attempt);
+        job.retireAttempt(attempt);
         LOG.info(
                 "Launch rejected: job={} task={} attempt={} machine={} reason={}",
                 job.jobId(),
@@ -102,7 +102,7 @@
     }
 
     private static void applyEnd(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
-        job.loseAttempt(attempt);
+        job.retireAttempt(attempt);
         LOG.debug(
                 "Attempt ended: job={} task={} attempt={} machine={} reason={} checkpointed={}",
                 job.jobId(),
--- a/src/test/java/org/spoolline/job/JobTableTest.java
+++ b/src/test/java/org/spoolline/job/JobTableTest.java
@@ -43,7 +43,7 @@
 
     private Pipeline withoutFirst() {
         Pipeline nextValue = entry().committed().copy();
-        nextValue.loseAttempt(first);
+        nextValue.retireAttempt(first);
         return nextValue;
     }
 
--- a/src/test/java/org/spoolline/worker/OrderPlannerTest.java
+++ b/src/test/java/org/spoolline/worker/OrderPlannerTest.java
@@ -79,7 +79,7 @@
     private void release() {
         JobEntry entry = jobs.get(JOB);
         Pipeline nextValue = entry.committed().copy();
-        nextValue.loseAttempt(ATTEMPT);
+        nextValue.retireAttempt(ATTEMPT);
         jobs.release(entry, nextValue, entry.committed().attempts());
     }
 
