--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -30,7 +30,7 @@
  */
 public final class Controller implements LeaderElection.Listener {
     /** Path on the internal address where operators read the node's status and counters. */
-    public static final String COUNTERS = "/counters";
+    public static final String COUNTERS_PATH = "/counters";
 
     private final EventLoop loop;
     private final Counters counters;
@@ -45,7 +45,7 @@
     private final PeerService peerService;
     private final NodeHealth health;
     private final RequestRouter router;
-    private Runnable leaderKnown = () -> {};
+    private Runnable onLeaderKnown = () -> {};
 
     /**
      * Wires a node. Nothing is called back before {@link #start}, so the parts that refer to one another may be given
@@ -70,7 +70,7 @@
                 new SchedulerContext(
                         loop, settings, store, election, staleness, catalog, machines, jobs, counters, stalls),
                 autoscaler,
-                new WorkerOrders());
+                new WorkerNotifier());
         heartbeatService = new HeartbeatService(
                 loop,
                 http,
@@ -82,7 +82,7 @@
                 scheduler,
                 scheduler::machineChanged,
                 counters);
-        peerService = new PeerService(loop, http, settings, store, election, new RequestsOfPeers());
+        peerService = new PeerService(loop, http, settings, store, election, new PeerRequestHandler());
         health = new NodeHealth(loop, store, catalog, election, heartbeatService, peerService);
         NodeStatus status = new NodeStatus(settings.node(), election, staleness, store, catalog, stalls, counters);
         router = new RequestRouter(jobApi, heartbeatService, peerService, store, health, status, counters);
@@ -90,7 +90,7 @@
 
     /** Starts; {@code onLeaderKnown} runs each time this node learns who leads, itself or another. */
     public void start(Runnable onLeaderKnown) {
-        leaderKnown = onLeaderKnown;
+        this.onLeaderKnown = onLeaderKnown;
         start();
     }
 
@@ -98,10 +98,10 @@
     public void start() {
         counters.start();
         election.start();
-        loop.after(Constants.Store.VERSION_RECORD_DELAY_MS, versions::start);
+        loop.after(Constants.Store.VERSION_RECORD_DELAY_MS, versions::recordThisController);
         catalog.start();
         peerService.start();
-        health.startProbing();
+        health.probePeriodically();
     }
 
     /** What the node has counted since its start. */
@@ -110,15 +110,15 @@
     }
 
     /** Serves users, workers and health checks. */
-    public void serve(Http.Request request, Consumer<Http.Response> answer) {
+    public void serve(Http.Request request, Consumer<Http.Response> responder) {
         // A loop that is busy with requests is late with its timers, and leadership must not end by that.
         election.renewIfDue();
-        router.serve(request, answer);
+        router.serve(request, responder);
     }
 
     /** Serves the other controllers, and operators who read the counters. */
-    public void servePeer(Http.Request request, Consumer<Http.Response> answer) {
-        router.servePeer(request, answer);
+    public void servePeer(Http.Request request, Consumer<Http.Response> responder) {
+        router.servePeer(request, responder);
     }
 
     @Override
@@ -126,12 +126,12 @@
         heartbeatService.disableOrders();
         autoscaler.elected(token);
         scheduler.elected(token);
-        leaderKnown.run();
+        onLeaderKnown.run();
     }
 
     @Override
     public void leaderObserved(String leader) {
-        leaderKnown.run();
+        onLeaderKnown.run();
     }
 
     @Override
@@ -153,7 +153,7 @@
     }
 
     /** Passes the results of scheduling cycles on to the workers. */
-    private final class WorkerOrders implements CycleListener {
+    private final class WorkerNotifier implements CycleListener {
         @Override
         public void jobsLoaded() {
             heartbeatService.enableOrders();
@@ -173,10 +173,10 @@
     }
 
     /** What the peers may ask of this node. */
-    private final class RequestsOfPeers implements PeerService.Local {
+    private final class PeerRequestHandler implements PeerService.LocalNode {
         @Override
-        public void handle(Http.Request request, Consumer<Http.Response> answer) {
-            jobApi.handle(request, answer);
+        public void handle(Http.Request request, Consumer<Http.Response> responder) {
+            jobApi.handle(request, responder);
         }
 
         @Override
--- a/src/main/java/org/spoolline/NodeHealth.java
+++ b/src/main/java/org/spoolline/NodeHealth.java
@@ -36,10 +36,10 @@
     }
 
     /** Probes the key-value store now and every {@link Constants.Store#STORE_PROBE_MS} from now on. */
-    void startProbing() {
+    void probePeriodically() {
         store.probe();
-        stepDownIfOnlyPeersAreReached();
-        loop.after(Constants.Store.STORE_PROBE_MS, this::startProbing);
+        stepDownIfWorkersReachOnlyPeers();
+        loop.after(Constants.Store.STORE_PROBE_MS, this::probePeriodically);
     }
 
     /**
@@ -47,12 +47,14 @@
      * without the key-value store stays in unless a peer still reaches it.
      */
     boolean isHealthy() {
-        return catalog.isKnown() && (store.reachable() || !peerService.anyReachesStore());
+        return catalog.isKnown() && (store.reachable() || !peerService.anyPeerReachesStore());
     }
 
     /** Hands leadership to a node that the workers reach when they have stopped reaching this one. */
-    private void stepDownIfOnlyPeersAreReached() {
-        if (election.hasValidLease() && heartbeatService.workersUnreachable() && peerService.anyReceivesHeartbeats()) {
+    private void stepDownIfWorkersReachOnlyPeers() {
+        if (election.hasValidLease()
+                && heartbeatService.workersUnreachable()
+                && peerService.anyPeerReceivesHeartbeats()) {
             election.stepDownAndBackOff("workers reach a peer but not this node");
         }
     }
--- a/src/main/java/org/spoolline/NodeStatus.java
+++ b/src/main/java/org/spoolline/NodeStatus.java
@@ -10,7 +10,7 @@
 import org.spoolline.net.Json;
 
 /**
- * What operators read at {@link Controller#COUNTERS}: who leads as far as this node knows, whether it may decide anything
+ * What operators read at {@link Controller#COUNTERS_PATH}: who leads as far as this node knows, whether it may decide anything
  * itself, and its counters. The field names are read by operators' scripts and stay as they are.
  */
 final class NodeStatus {
@@ -50,12 +50,12 @@
                 .put("mayLaunch", staleness.mayLaunch())
                 .put("stateReachable", store.reachable())
                 .put("machineTypesKnown", catalog.isKnown())
-                .put("stalled", stalled());
+                .put("stalled", currentStall());
         status.set("counts", counters.toJson());
         return status;
     }
 
-    private String stalled() {
+    private String currentStall() {
         StallMonitor.Situation situation =
                 election.isLeader() ? stalls.lastSeen().orElse(null) : null;
         return situation == null ? null : situation.toString();
--- a/src/main/java/org/spoolline/RequestRouter.java
+++ b/src/main/java/org/spoolline/RequestRouter.java
@@ -12,8 +12,8 @@
 
 /** Every path that a node serves, on both of its addresses. Each response is handed over exactly once, on the loop. */
 final class RequestRouter {
-    private static final String HEARTBEAT = "/checkin";
-    private static final String HEALTH = "/healthz";
+    private static final String HEARTBEAT_PATH = "/checkin";
+    private static final String HEALTH_PATH = "/healthz";
 
     private final JobApi jobApi;
     private final HeartbeatService heartbeatService;
@@ -41,40 +41,40 @@
     }
 
     /** Serves the address for users, workers and health checks. */
-    void serve(Http.Request request, Consumer<Http.Response> answer) {
+    void serve(Http.Request request, Consumer<Http.Response> responder) {
         String path = request.path();
-        if (path.equals(HEARTBEAT)) {
-            heartbeatService.handle(request, answer);
+        if (path.equals(HEARTBEAT_PATH)) {
+            heartbeatService.handle(request, responder);
         } else if (JobApi.serves(path)) {
-            serveUser(request, answer);
-        } else if (path.equals(HEALTH)) {
-            answer.accept(Http.Response.of(health.isHealthy() ? 200 : 503, new byte[0]));
+            serveUser(request, responder);
+        } else if (path.equals(HEALTH_PATH)) {
+            responder.accept(Http.Response.of(health.isHealthy() ? 200 : 503, new byte[0]));
         } else {
-            answer.accept(Http.Response.of(404, Json.error("no such path")));
+            responder.accept(Http.Response.of(404, Json.error("no such path")));
         }
     }
 
     /** Serves the internal address, for the other controllers and for operators who read the counters. */
-    void servePeer(Http.Request request, Consumer<Http.Response> answer) {
-        if (request.path().equals(Controller.COUNTERS)) {
-            answer.accept(Http.Response.of(200, Json.bytes(status.toJson())));
+    void servePeer(Http.Request request, Consumer<Http.Response> responder) {
+        if (request.path().equals(Controller.COUNTERS_PATH)) {
+            responder.accept(Http.Response.of(200, Json.bytes(status.toJson())));
         } else {
-            peerService.handle(request, answer);
+            peerService.handle(request, responder);
         }
     }
 
     /** Counts how users' requests end; a node that can't reach the key-value store forwards them to a peer that can. */
-    private void serveUser(Http.Request request, Consumer<Http.Response> answer) {
-        Consumer<Http.Response> counted = response -> {
-            counters.count(outcome(response.status()));
-            answer.accept(response);
+    private void serveUser(Http.Request request, Consumer<Http.Response> responder) {
+        Consumer<Http.Response> countingResponder = response -> {
+            counters.count(eventOf(response.status()));
+            responder.accept(response);
         };
-        if (store.reachable() || !peerService.forward(request, counted)) {
-            jobApi.handle(request, counted);
+        if (store.reachable() || !peerService.forward(request, countingResponder)) {
+            jobApi.handle(request, countingResponder);
         }
     }
 
-    private static Event outcome(int status) {
+    private static Event eventOf(int status) {
         return switch (status) {
             case 200, 201 -> Event.USER_SERVED;
             case 429 -> Event.USER_RATE_LIMITED;
--- a/src/main/java/org/spoolline/api/AncestorCache.java
+++ b/src/main/java/org/spoolline/api/AncestorCache.java
@@ -17,11 +17,11 @@
     /**
      * A live job that was not cancelled when it was read.
      *
-     * @param readAt       when the read was sent, in ms of the event loop's clock
+     * @param readSentAt       when the read was sent, in ms of the event loop's clock
      * @param dependencies the jobs that it waits for itself
      * @param service      true if it runs until it is cancelled
      */
-    record LiveJob(long readAt, List<String> dependencies, boolean service) {}
+    record LiveJob(long readSentAt, List<String> dependencies, boolean service) {}
 
     private final EventLoop loop;
     private final long stalenessBoundMs;
@@ -56,6 +56,6 @@
 
     /** True if the staleness bound still allows to rely on the job not being cancelled. */
     boolean isFresh(LiveJob job) {
-        return loop.now() - job.readAt() < stalenessBoundMs;
+        return loop.now() - job.readSentAt() < stalenessBoundMs;
     }
 }
--- a/src/main/java/org/spoolline/api/AncestorChecker.java
+++ b/src/main/java/org/spoolline/api/AncestorChecker.java
@@ -34,6 +34,6 @@
      * differs from one run to the next.
      */
     void check(Collection<String> dependencies, Consumer<AncestorVerdict> onVerdict) {
-        new AncestorWalk(loop, reader, cache, new LinkedHashSet<>(dependencies), onVerdict).proceed();
+        new AncestorWalk(loop, reader, cache, new LinkedHashSet<>(dependencies), onVerdict).visitPending();
     }
 }
--- a/src/main/java/org/spoolline/api/AncestorWalk.java
+++ b/src/main/java/org/spoolline/api/AncestorWalk.java
@@ -23,7 +23,7 @@
     private final Set<String> directDependencies;
     private final Consumer<AncestorVerdict> onVerdict;
     private final Set<String> visited = new HashSet<>();
-    private final Deque<String> toVisit = new ArrayDeque<>();
+    private final Deque<String> pendingVisits = new ArrayDeque<>();
     private int readsInFlight;
     private boolean visiting;
     private AncestorVerdict verdict = AncestorVerdict.NONE_CANCELLED;
@@ -40,18 +40,18 @@
         this.cache = cache;
         this.directDependencies = directDependencies;
         this.onVerdict = onVerdict;
-        toVisit.addAll(directDependencies);
+        pendingVisits.addAll(directDependencies);
     }
 
     /** Visits what is left to visit. To be called once from outside; later calls come from the walk's own reads. */
-    void proceed() {
+    void visitPending() {
         if (visiting) {
             // A read has failed before the call that sent it returned: the loop below is still running and goes on.
             return;
         }
         visiting = true;
-        while (!toVisit.isEmpty()) {
-            String jobId = toVisit.remove();
+        while (!pendingVisits.isEmpty()) {
+            String jobId = pendingVisits.remove();
             if (visited.add(jobId)) {
                 visit(jobId);
             }
@@ -66,11 +66,11 @@
         Optional<TerminalRecord> record = reader.cachedTerminalRecord(jobId);
         Optional<AncestorCache.LiveJob> live = cache.liveJob(jobId);
         if (cache.isCancelled(jobId)) {
-            add(AncestorVerdict.CANCELLED);
+            combineVerdict(AncestorVerdict.CANCELLED);
         } else if (record.isPresent()) {
-            addTerminal(record.get());
+            processTerminal(record.get());
         } else if (live.isPresent() && cache.isFresh(live.get())) {
-            addLive(jobId, live.get());
+            processLive(jobId, live.get());
         } else {
             read(jobId);
         }
@@ -83,61 +83,61 @@
                 jobId,
                 stored -> {
                     readsInFlight--;
-                    addStored(jobId, stored, sentAt);
-                    proceed();
+                    processStored(jobId, stored, sentAt);
+                    visitPending();
                 },
                 failure -> {
                     readsInFlight--;
-                    add(verdictOn(failure));
-                    proceed();
+                    combineVerdict(verdictFor(failure));
+                    visitPending();
                 });
     }
 
-    private static AncestorVerdict verdictOn(JobReader.Failure failure) {
+    private static AncestorVerdict verdictFor(JobReader.Failure failure) {
         return switch (failure) {
             case RATE_LIMITED -> AncestorVerdict.RATE_LIMITED;
             case STORE_UNREACHABLE -> AncestorVerdict.STORE_UNREACHABLE;
         };
     }
 
-    private void addStored(String jobId, StoredJob stored, long sentAt) {
+    private void processStored(String jobId, StoredJob stored, long sentAt) {
         if (stored instanceof StoredJob.Terminal terminal) {
-            addTerminal(terminal.record());
+            processTerminal(terminal.record());
         } else if (stored instanceof StoredJob.Live live) {
-            addPipeline(jobId, Pipeline.decode(live.value()), sentAt);
+            processPipeline(jobId, Pipeline.decode(live.value()), sentAt);
         } else {
-            add(AncestorVerdict.UNSATISFIABLE);
+            combineVerdict(AncestorVerdict.UNSATISFIABLE);
         }
     }
 
-    private void addPipeline(String jobId, Pipeline pipeline, long sentAt) {
+    private void processPipeline(String jobId, Pipeline pipeline, long sentAt) {
         cache.observe(pipeline, sentAt);
         if (pipeline.cancelled()) {
-            add(AncestorVerdict.CANCELLED);
+            combineVerdict(AncestorVerdict.CANCELLED);
             return;
         }
-        addLive(jobId, cache.liveJob(jobId).orElseThrow(() -> storedUnderAnotherKey(jobId, pipeline)));
+        processLive(jobId, cache.liveJob(jobId).orElseThrow(() -> storedUnderWrongKey(jobId, pipeline)));
     }
 
-    private static IllegalStateException storedUnderAnotherKey(String jobId, Pipeline pipeline) {
+    private static IllegalStateException storedUnderWrongKey(String jobId, Pipeline pipeline) {
         return new IllegalStateException(
                 "Live value stored under the key of another job: job=" + jobId + " stored=" + pipeline.jobId());
     }
 
-    private void addLive(String jobId, AncestorCache.LiveJob live) {
+    private void processLive(String jobId, AncestorCache.LiveJob live) {
         if (live.service() && directDependencies.contains(jobId)) {
-            add(AncestorVerdict.UNSATISFIABLE);
+            combineVerdict(AncestorVerdict.UNSATISFIABLE);
         }
-        toVisit.addAll(live.dependencies());
+        pendingVisits.addAll(live.dependencies());
     }
 
-    private void addTerminal(TerminalRecord record) {
+    private void processTerminal(TerminalRecord record) {
         if (!record.done()) {
-            add(AncestorVerdict.CANCELLED);
+            combineVerdict(AncestorVerdict.CANCELLED);
         }
     }
 
-    private void add(AncestorVerdict other) {
-        verdict = verdict.combine(other);
+    private void combineVerdict(AncestorVerdict ancestorVerdict) {
+        verdict = verdict.combine(ancestorVerdict);
     }
 }
--- a/src/main/java/org/spoolline/api/CancellationHandler.java
+++ b/src/main/java/org/spoolline/api/CancellationHandler.java
@@ -58,7 +58,7 @@
     private void cancelLive(String jobId, StoredJob.Live live, int triesLeft, Consumer<Http.Response> responder) {
         Pipeline pipeline = Pipeline.decode(live.value());
         if (pipeline.cancelled()) {
-            confirm(jobId, responder);
+            respondCancelled(jobId, responder);
             return;
         }
         if (!store.tryAcquire(1)) {
@@ -71,8 +71,8 @@
         store.commit(transaction, result -> {
             if (result.outcome() == CommitOutcome.APPLIED) {
                 LOG.info("Cancelled job: job={}", jobId);
-                confirm(jobId, responder);
-            } else if (isWorthRetrying(result.outcome()) && triesLeft > 1) {
+                respondCancelled(jobId, responder);
+            } else if (isRetryable(result.outcome()) && triesLeft > 1) {
                 cancel(jobId, triesLeft - 1, responder);
             } else {
                 responder.accept(JobResponseCodec.unavailable());
@@ -92,11 +92,11 @@
     }
 
     /** True after a concurrent change, and after a commit that showed that lower announced limits are in force. */
-    private static boolean isWorthRetrying(CommitOutcome outcome) {
+    private static boolean isRetryable(CommitOutcome outcome) {
         return outcome == CommitOutcome.CONFLICT || outcome == CommitOutcome.TOO_LARGE;
     }
 
-    private void confirm(String jobId, Consumer<Http.Response> responder) {
+    private void respondCancelled(String jobId, Consumer<Http.Response> responder) {
         onCancelled.accept(jobId);
         responder.accept(JobResponseCodec.cancelled(jobId));
     }
--- a/src/main/java/org/spoolline/api/JobApi.java
+++ b/src/main/java/org/spoolline/api/JobApi.java
@@ -60,9 +60,9 @@
     }
 
     private void handleJob(Http.Request request, Consumer<Http.Response> responder) {
-        String rest = request.path().substring(JOB_PATH_PREFIX.length());
-        boolean cancellation = rest.endsWith(CANCEL_SUFFIX);
-        String jobId = cancellation ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
+        String jobPath = request.path().substring(JOB_PATH_PREFIX.length());
+        boolean cancellation = jobPath.endsWith(CANCEL_SUFFIX);
+        String jobId = cancellation ? jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length()) : jobPath;
         if (!SubmissionCodec.isValidJobId(jobId)) {
             responder.accept(JobResponseCodec.noSuchJob());
         } else if (cancellation && request.method().equals("POST")) {
--- a/src/main/java/org/spoolline/api/JobResponseCodec.java
+++ b/src/main/java/org/spoolline/api/JobResponseCodec.java
@@ -54,8 +54,8 @@
     }
 
     /** A submission that can't be read; the exception names the field. */
-    static Http.Response malformed(SubmissionCodec.Malformed problem) {
-        return error(400, "malformed: " + problem.getMessage());
+    static Http.Response malformed(SubmissionCodec.Malformed cause) {
+        return error(400, "malformed: " + cause.getMessage());
     }
 
     /** A submission whose stored form exceeds a limit in bytes. */
@@ -65,10 +65,10 @@
 
     /** A submission of a job that can never run. */
     static Http.Response unsatisfiable(Submission job, UnsatisfiableReason reason) {
-        return error(422, text(job, reason));
+        return error(422, reasonText(job, reason));
     }
 
-    private static String text(Submission job, UnsatisfiableReason reason) {
+    private static String reasonText(Submission job, UnsatisfiableReason reason) {
         return switch (reason) {
             case UNKNOWN_TEAM -> "unknown team " + job.team();
             case DEPENDS_ON_ITSELF -> "the job waits on itself";
--- a/src/main/java/org/spoolline/api/StatusBatch.java
+++ b/src/main/java/org/spoolline/api/StatusBatch.java
@@ -48,14 +48,14 @@
     void add(Request request) {
         requests.add(request);
         if (requests.size() >= store.maxConditions()) {
-            confirm();
+            confirmBatch();
         } else if (requests.size() == 1) {
-            loop.after(Constants.Api.STATUS_BATCH_MS, this::confirm);
+            loop.after(Constants.Api.STATUS_BATCH_MS, this::confirmBatch);
         }
     }
 
     /** Also runs by the timer of a batch that was full before: then there may be no request, or few of a later batch. */
-    private void confirm() {
+    private void confirmBatch() {
         if (requests.isEmpty()) {
             return;
         }
--- a/src/main/java/org/spoolline/api/StatusHandler.java
+++ b/src/main/java/org/spoolline/api/StatusHandler.java
@@ -42,7 +42,7 @@
         this.reader = reader;
         this.ancestorChecker = ancestorChecker;
         this.cancellationHandler = cancellationHandler;
-        batch = new StatusBatch(loop, store, this::respondUnchanged, this::readChanged);
+        batch = new StatusBatch(loop, store, this::respondUnchanged, this::readAgain);
     }
 
     /** Responds to a status request. */
@@ -62,8 +62,8 @@
         return reader.cachedTerminalRecord(jobId).map(record -> JobResponseCodec.terminalStatus(jobId, record));
     }
 
-    /** Reads the job and responds with its status, or leaves the response to {@code ifNeverAccepted}. */
-    void respondIfAccepted(String jobId, Consumer<Http.Response> responder, Runnable ifNeverAccepted) {
+    /** Reads the job and responds with its status, or leaves the response to {@code onNeverAccepted}. */
+    void respondIfAccepted(String jobId, Consumer<Http.Response> responder, Runnable onNeverAccepted) {
         reader.read(
                 jobId,
                 stored -> {
@@ -73,7 +73,7 @@
                     } else if (stored instanceof StoredJob.Live live) {
                         respondLive(jobId, live, responder);
                     } else {
-                        ifNeverAccepted.run();
+                        onNeverAccepted.run();
                     }
                 },
                 failure -> responder.accept(JobResponseCodec.readFailed(failure)));
@@ -84,14 +84,14 @@
      * alone some jobs would get no response for minutes while others get one each time.
      */
     private void read(String jobId, Consumer<Http.Response> responder) {
-        if (store.requestBudgetLow() && respondedLately(jobId)) {
+        if (store.requestBudgetLow() && respondedRecently(jobId)) {
             responder.accept(JobResponseCodec.rateLimited());
             return;
         }
         respondIfAccepted(jobId, responder, () -> responder.accept(JobResponseCodec.noSuchJob()));
     }
 
-    private boolean respondedLately(String jobId) {
+    private boolean respondedRecently(String jobId) {
         long respondedAt = lastRespondedAt.getOrDefault(jobId, NEVER_RESPONDED);
         return loop.now() - respondedAt < Constants.Api.STATUS_TURN_MS;
     }
@@ -100,7 +100,7 @@
         respondUnlessAncestorCancelled(request.jobId(), request.lastStatus(), request.responder());
     }
 
-    private void readChanged(StatusBatch.Request request) {
+    private void readAgain(StatusBatch.Request request) {
         liveStatuses.remove(request.jobId());
         read(request.jobId(), request.responder());
     }
--- a/src/main/java/org/spoolline/api/SubmissionHandler.java
+++ b/src/main/java/org/spoolline/api/SubmissionHandler.java
@@ -79,7 +79,7 @@
         } else if (job.dependencies().isEmpty()) {
             accept(pipeline, responder);
         } else {
-            submitWithDependencies(pipeline, responder);
+            acceptWithDependencies(pipeline, responder);
         }
     }
 
@@ -98,9 +98,9 @@
     }
 
     /** Accepts a job with dependencies once every controller can read such a job and all its dependencies were accepted. */
-    private void submitWithDependencies(Pipeline pipeline, Consumer<Http.Response> responder) {
-        versions.ask(controllers -> {
-            if (controllers == VersionRegistry.Answer.ALL_UPGRADED) {
+    private void acceptWithDependencies(Pipeline pipeline, Consumer<Http.Response> responder) {
+        versions.checkUpgradeStatus(upgradeStatus -> {
+            if (upgradeStatus == VersionRegistry.UpgradeStatus.ALL_UPGRADED) {
                 checkDependencies(pipeline, responder);
             } else {
                 responder.accept(JobResponseCodec.unavailable());
--- a/src/main/java/org/spoolline/api/SubmissionValidator.java
+++ b/src/main/java/org/spoolline/api/SubmissionValidator.java
@@ -37,22 +37,22 @@
         if (job.dependencies().contains(job.jobId())) {
             return Optional.of(UnsatisfiableReason.DEPENDS_ON_ITSELF);
         }
-        if (exceedsLimit(job, team)) {
+        if (exceedsTeamLimit(job, team)) {
             return Optional.of(UnsatisfiableReason.EXCEEDS_TEAM_LIMIT);
         }
-        List<MachineType> suitable = catalog.types().values().stream()
+        List<MachineType> suitableTypes = catalog.types().values().stream()
                 .filter(type -> type.canRun(job))
                 .toList();
-        if (suitable.isEmpty()) {
+        if (suitableTypes.isEmpty()) {
             return Optional.of(UnsatisfiableReason.NO_SUITABLE_MACHINE_TYPE);
         }
-        if (needsTwoZones(job) && zonesAllowed(job, suitable) < 2) {
+        if (needsTwoZones(job) && allowedZoneCount(job, suitableTypes) < 2) {
             return Optional.of(UnsatisfiableReason.GANG_IN_ONE_ZONE);
         }
         return Optional.empty();
     }
 
-    private static boolean exceedsLimit(Submission job, Settings.Team team) {
+    private static boolean exceedsTeamLimit(Submission job, Settings.Team team) {
         int concurrentTasks = job.gang() ? job.tasks() : 1;
         return job.cores() * concurrentTasks > team.maxCores() + ROUNDING_TOLERANCE
                 || job.accelerators() * concurrentTasks > team.maxAccelerators() + ROUNDING_TOLERANCE;
@@ -63,11 +63,11 @@
         return job.gang() && job.spreadAcrossZones() && job.tasks() > 1;
     }
 
-    private static long zonesAllowed(Submission job, List<MachineType> suitable) {
+    private static long allowedZoneCount(Submission job, List<MachineType> suitableTypes) {
         if (job.singleZone() || job.zone() != null) {
             return 1;
         }
-        return suitable.stream()
+        return suitableTypes.stream()
                 .flatMap(type -> type.zones().stream())
                 .distinct()
                 .count();
--- a/src/main/java/org/spoolline/election/Campaign.java
+++ b/src/main/java/org/spoolline/election/Campaign.java
@@ -27,10 +27,10 @@
          * The election got no answer, or the store rejected it. It may have been applied: the leader key then names this
          * node although nobody leads.
          */
-        void undecided();
+        void outcomeUnknown();
 
         /** The store did not answer what precedes the election. */
-        void notHeld();
+        void storeUnavailable();
     }
 
     /**
@@ -38,16 +38,16 @@
      *
      * @param token the fencing token
      * @param leaderKeyVersion the version of the leader key, which every write of this leader requires
-     * @param lease the lease that the leader key lives on
-     * @param leaseSentAt when the request that created the lease was sent, in ms of the event loop's time
+     * @param leaseId the lease that the leader key lives on
+     * @param leaseRequestSentAt when the request that created the lease was sent, in ms of the event loop's time
      */
-    record Term(long token, long leaderKeyVersion, long lease, long leaseSentAt) {}
+    record Term(long token, long leaderKeyVersion, long leaseId, long leaseRequestSentAt) {}
 
     private final EventLoop loop;
     private final KeyValueStoreClient store;
     private final Settings settings;
     private final Listener listener;
-    private boolean running;
+    private boolean inProgress;
 
     Campaign(EventLoop loop, KeyValueStoreClient store, Settings settings, Listener listener) {
         this.loop = loop;
@@ -62,49 +62,50 @@
      * @param leaderKeyVersion the version of the leader key that the election replaces; 0 when the key must not exist
      */
     void start(long leaderKeyVersion) {
-        if (running) {
+        if (inProgress) {
             return;
         }
-        running = true;
+        inProgress = true;
         long sentAt = loop.now();
         store.createLease(settings.leadershipMs(), lease -> {
             if (lease.isPresent()) {
                 readTokenCounter(leaderKeyVersion, lease.getAsLong(), sentAt);
             } else {
-                running = false;
-                listener.notHeld();
+                inProgress = false;
+                listener.storeUnavailable();
             }
         });
     }
 
-    private void readTokenCounter(long leaderKeyVersion, long lease, long leaseSentAt) {
+    private void readTokenCounter(long leaderKeyVersion, long leaseId, long leaseRequestSentAt) {
         store.acquireWithDebt(0);
         store.get(LeaderElection.TOKEN_KEY, read -> {
             if (read.answered()) {
-                elect(leaderKeyVersion, lease, leaseSentAt, read.value());
+                commitElection(leaderKeyVersion, leaseId, leaseRequestSentAt, read.value());
             } else {
-                running = false;
-                listener.notHeld();
+                inProgress = false;
+                listener.storeUnavailable();
             }
         });
     }
 
-    private void elect(long leaderKeyVersion, long lease, long leaseSentAt, VersionedValue tokenCounter) {
+    private void commitElection(
+            long leaderKeyVersion, long leaseId, long leaseRequestSentAt, VersionedValue tokenCounter) {
         long token = LeaderKeyCodec.decodeLastToken(tokenCounter) + 1;
         LeaderKeyCodec.LeaderRecord leader =
                 new LeaderKeyCodec.LeaderRecord(settings.node(), settings.internalAddress(), token);
-        Transaction election = new Transaction()
+        Transaction transaction = new Transaction()
                 .requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion)
                 .requireVersion(LeaderElection.TOKEN_KEY, tokenCounter.version())
                 .put(LeaderElection.TOKEN_KEY, LeaderKeyCodec.encodeLastToken(token))
-                .putWithLease(LeaderElection.LEADER_KEY, LeaderKeyCodec.encode(leader), lease);
-        store.acquireWithDebt(election.writeCount());
-        store.commit(election, result -> {
-            running = false;
+                .putWithLease(LeaderElection.LEADER_KEY, LeaderKeyCodec.encode(leader), leaseId);
+        store.acquireWithDebt(transaction.writeCount());
+        store.commit(transaction, result -> {
+            inProgress = false;
             switch (result.outcome()) {
-                case APPLIED -> listener.won(new Term(token, result.revision(), lease, leaseSentAt));
+                case APPLIED -> listener.won(new Term(token, result.revision(), leaseId, leaseRequestSentAt));
                 case CONFLICT -> listener.lost();
-                default -> listener.undecided();
+                default -> listener.outcomeUnknown();
             }
         });
     }
--- a/src/main/java/org/spoolline/election/LeaderElection.java
+++ b/src/main/java/org/spoolline/election/LeaderElection.java
@@ -76,13 +76,13 @@
         this.settings = settings;
         this.listener = listener;
         this.counters = counters;
-        this.observer = new LeaderKeyObserver(loop, random, store, settings, new ObservedElection());
-        this.campaign = new Campaign(loop, store, settings, new CampaignOutcome());
+        this.observer = new LeaderKeyObserver(loop, random, store, settings, new ObserverCallbacks());
+        this.campaign = new Campaign(loop, store, settings, new CampaignListener());
     }
 
     /** Begins to observe the leader key, and to campaign when no other node leads. */
     public void start() {
-        observer.observe();
+        observer.readLeaderKey();
     }
 
     /** True from an election until this node steps down, whether its lease is still valid or not. */
@@ -133,14 +133,14 @@
     }
 
     /** A worker has seen this token, which may include early-heartbeat requests. */
-    public void observeWorkerToken(long seen) {
-        observeToken(seen >> Constants.Heartbeat.EARLY_HEARTBEAT_TOKEN_BITS);
+    public void observeWorkerToken(long workerToken) {
+        observeToken(workerToken >> Constants.Heartbeat.EARLY_HEARTBEAT_TOKEN_BITS);
     }
 
     /** A peer or a worker has seen this fencing token: if it is higher, another leader was elected since. */
-    public void observeToken(long seen) {
-        if (leading && seen > fencingToken) {
-            stepDown("higher token observed: " + seen);
+    public void observeToken(long token) {
+        if (leading && token > fencingToken) {
+            stepDown("higher token observed: " + token);
         }
     }
 
@@ -149,10 +149,10 @@
      * is ended, so that they need not wait for its expiry. Called only while this node leads.
      */
     public void stepDownAndBackOff(String reason) {
-        long lease = leaseKeeper.lease();
+        long leaseId = leaseKeeper.leaseId();
         observer.backOff();
         stepDown(reason);
-        store.endLease(lease);
+        store.endLease(leaseId);
     }
 
     /** Steps down, if this node leads. The leader key goes when its lease ends. */
@@ -163,10 +163,10 @@
         LOG.info("Lost leadership: leader={} token={} reason={}", settings.node(), fencingToken, reason);
         leading = false;
         leaseKeeper.stop();
-        observer.forgetLeader();
+        observer.clearKnownLeader();
         store.setLeader(false);
         listener.steppedDown(reason);
-        observer.observeAfter(Constants.Time.RETRY_MS);
+        observer.readLeaderKeyAfter(Constants.Time.RETRY_MS);
     }
 
     /**
@@ -179,13 +179,13 @@
         }
     }
 
-    private void elected(Campaign.Term term) {
+    private void beginTerm(Campaign.Term term) {
         fencingToken = term.token();
         leaderKeyVersion = term.leaderKeyVersion();
         leaseKeeper = new LeaseKeeper(
-                loop, store, settings, term.lease(), term.leaseSentAt(), () -> stepDown("lease expired"));
+                loop, store, settings, term.leaseId(), term.leaseRequestSentAt(), () -> stepDown("lease expired"));
         leading = true;
-        observer.elected(fencingToken);
+        observer.localNodeElected(fencingToken);
         store.setLeader(true);
         counters.count(Event.ELECTION_WON);
         LOG.info(
@@ -193,13 +193,13 @@
                 settings.node(),
                 fencingToken,
                 leaderKeyVersion,
-                loop.now() - term.leaseSentAt());
+                loop.now() - term.leaseRequestSentAt());
         listener.elected(fencingToken, leaderKeyVersion);
         leaseKeeper.start();
     }
 
     /** What the leader key's observer learns. */
-    private final class ObservedElection implements LeaderKeyObserver.Election {
+    private final class ObserverCallbacks implements LeaderKeyObserver.Callbacks {
         @Override
         public boolean isLeader() {
             return leading;
@@ -211,7 +211,7 @@
         }
 
         @Override
-        public void leaderKeyFree(long keyVersion) {
+        public void campaignPermitted(long keyVersion) {
             if (!leading) {
                 campaign.start(keyVersion);
             }
@@ -219,27 +219,27 @@
     }
 
     /** What follows a campaign. */
-    private final class CampaignOutcome implements Campaign.Listener {
+    private final class CampaignListener implements Campaign.Listener {
         @Override
         public void won(Campaign.Term term) {
-            elected(term);
+            beginTerm(term);
         }
 
         @Override
         public void lost() {
             counters.count(Event.ELECTION_LOST);
-            observer.observeAfter(0);
+            observer.readLeaderKeyAfter(0);
         }
 
         @Override
-        public void undecided() {
+        public void outcomeUnknown() {
             counters.count(Event.ELECTION_UNANSWERED);
-            observer.observeAfter(Constants.Time.RETRY_MS);
+            observer.readLeaderKeyAfter(Constants.Time.RETRY_MS);
         }
 
         @Override
-        public void notHeld() {
-            observer.observeAfter(Constants.Time.RETRY_MS);
+        public void storeUnavailable() {
+            observer.readLeaderKeyAfter(Constants.Time.RETRY_MS);
         }
     }
 }
--- a/src/main/java/org/spoolline/election/LeaderKeyObserver.java
+++ b/src/main/java/org/spoolline/election/LeaderKeyObserver.java
@@ -21,7 +21,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeaderKeyObserver.class);
 
     /** What the observer asks of the election, and reports to it. */
-    interface Election {
+    interface Callbacks {
         /** True while this node leads: the key is then not observed. */
         boolean isLeader();
 
@@ -33,26 +33,26 @@
          *
          * @param keyVersion the version of the leader key that the campaign replaces; 0 when the key does not exist
          */
-        void leaderKeyFree(long keyVersion);
+        void campaignPermitted(long keyVersion);
     }
 
     private final EventLoop loop;
     private final RandomGenerator random;
     private final KeyValueStoreClient store;
     private final Settings settings;
-    private final Election election;
+    private final Callbacks callbacks;
 
     private String knownLeader;
     private long highestKnownToken;
     private long backOffUntil = Long.MIN_VALUE;
 
     LeaderKeyObserver(
-            EventLoop loop, RandomGenerator random, KeyValueStoreClient store, Settings settings, Election election) {
+            EventLoop loop, RandomGenerator random, KeyValueStoreClient store, Settings settings, Callbacks callbacks) {
         this.loop = loop;
         this.random = random;
         this.store = store;
         this.settings = settings;
-        this.election = election;
+        this.callbacks = callbacks;
     }
 
     /** The leader's node name as last seen, if one is known. */
@@ -66,13 +66,13 @@
     }
 
     /** This node was elected. */
-    void elected(long token) {
+    void localNodeElected(long token) {
         knownLeader = settings.node();
         highestKnownToken = Math.max(highestKnownToken, token);
     }
 
     /** This node does not lead any more: nobody is known to lead until the key is observed again. */
-    void forgetLeader() {
+    void clearKnownLeader() {
         knownLeader = null;
     }
 
@@ -82,38 +82,38 @@
     }
 
     /** Observes the key after a pause. */
-    void observeAfter(long delayMs) {
-        loop.after(delayMs, this::observe);
+    void readLeaderKeyAfter(long delayMs) {
+        loop.after(delayMs, this::readLeaderKey);
     }
 
     /** Reads the leader key, then follows the leader that it names or lets this node campaign. */
-    void observe() {
-        if (election.isLeader()) {
+    void readLeaderKey() {
+        if (callbacks.isLeader()) {
             return;
         }
         store.acquireWithDebt(0);
-        store.get(LeaderElection.LEADER_KEY, read -> {
-            if (election.isLeader()) {
+        store.get(LeaderElection.LEADER_KEY, result -> {
+            if (callbacks.isLeader()) {
                 return;
             }
-            if (!read.answered()) {
-                observeAfter(Constants.Time.RETRY_MS + jitterMs());
+            if (!result.answered()) {
+                readLeaderKeyAfter(Constants.Time.RETRY_MS + jitterMs());
                 return;
             }
-            VersionedValue key = read.value();
+            VersionedValue key = result.value();
             if (key.exists()) {
-                observed(LeaderKeyCodec.decode(key.value()), key.version());
+                handleLeaderKey(LeaderKeyCodec.decode(key.value()), key.version());
             } else {
                 campaignUnlessBackingOff(0);
             }
         });
     }
 
-    private void observed(LeaderKeyCodec.LeaderRecord leader, long version) {
+    private void handleLeaderKey(LeaderKeyCodec.LeaderRecord leader, long version) {
         if (mayReplace(leader)) {
             campaignUnlessBackingOff(version);
         } else {
-            follow(leader, version);
+            followLeader(leader, version);
         }
     }
 
@@ -125,19 +125,19 @@
      * leader (docs/design.md, "Leadership").
      */
     private boolean mayReplace(LeaderKeyCodec.LeaderRecord leader) {
-        return leader.node().equals(settings.node()) && !backingOff();
+        return leader.node().equals(settings.node()) && !isBackingOff();
     }
 
-    private boolean backingOff() {
+    private boolean isBackingOff() {
         return loop.now() < backOffUntil;
     }
 
     private void campaignUnlessBackingOff(long keyVersion) {
         knownLeader = null;
-        if (backingOff()) {
-            observeAfter(Constants.Time.RETRY_MS);
+        if (isBackingOff()) {
+            readLeaderKeyAfter(Constants.Time.RETRY_MS);
         } else {
-            loop.after(jitterMs(), () -> election.leaderKeyFree(keyVersion));
+            loop.after(jitterMs(), () -> callbacks.campaignPermitted(keyVersion));
         }
     }
 
@@ -146,7 +146,7 @@
         return random.nextLong(Constants.Election.CAMPAIGN_JITTER_MS);
     }
 
-    private void follow(LeaderKeyCodec.LeaderRecord leader, long version) {
+    private void followLeader(LeaderKeyCodec.LeaderRecord leader, long version) {
         if (!leader.node().equals(knownLeader)) {
             LOG.info("Observed leader: leader={} token={}", leader.node(), leader.token());
         }
@@ -154,25 +154,25 @@
         knownLeader = leader.node().equals(settings.node()) ? null : leader.node();
         highestKnownToken = Math.max(highestKnownToken, leader.token());
         if (knownLeader != null) {
-            election.leaderObserved(knownLeader);
+            callbacks.leaderObserved(knownLeader);
         }
-        store.watch(LeaderElection.LEADER_KEY, version, Constants.Election.LEADER_WATCH_MS, this::watched);
+        store.watch(LeaderElection.LEADER_KEY, version, Constants.Election.LEADER_WATCH_MS, this::handleWatchResult);
     }
 
-    private void watched(WatchResult result) {
+    private void handleWatchResult(WatchResult result) {
         if (!result.answered()) {
-            observeAfter(Constants.Time.RETRY_MS);
+            readLeaderKeyAfter(Constants.Time.RETRY_MS);
             return;
         }
         List<WatchEvent> events = result.events();
         if (!events.isEmpty()) {
             WatchEvent last = events.get(events.size() - 1);
             if (!last.isDeletion()) {
-                follow(LeaderKeyCodec.decode(last.value()), last.version());
+                followLeader(LeaderKeyCodec.decode(last.value()), last.version());
                 return;
             }
             knownLeader = null;
         }
-        observeAfter(0);
+        readLeaderKeyAfter(0);
     }
 }
--- a/src/main/java/org/spoolline/election/LeaseKeeper.java
+++ b/src/main/java/org/spoolline/election/LeaseKeeper.java
@@ -18,12 +18,12 @@
     private final EventLoop loop;
     private final KeyValueStoreClient store;
     private final Settings settings;
-    private final long lease;
+    private final long leaseId;
     private final Runnable onExpired;
 
     private long validUntil;
-    private long renewDueAt = Long.MAX_VALUE;
-    private boolean renewing;
+    private long nextRenewalAt = Long.MAX_VALUE;
+    private boolean renewalInFlight;
     private boolean stopped;
 
     /**
@@ -33,18 +33,23 @@
      * @param onExpired runs when the store answers that the lease does not exist any more
      */
     LeaseKeeper(
-            EventLoop loop, KeyValueStoreClient store, Settings settings, long lease, long sentAt, Runnable onExpired) {
+            EventLoop loop,
+            KeyValueStoreClient store,
+            Settings settings,
+            long leaseId,
+            long sentAt,
+            Runnable onExpired) {
         this.loop = loop;
         this.store = store;
         this.settings = settings;
-        this.lease = lease;
+        this.leaseId = leaseId;
         this.onExpired = onExpired;
         this.validUntil = settings.leadershipEndsAt(sentAt);
     }
 
     /** The lease that is kept. */
-    long lease() {
-        return lease;
+    long leaseId() {
+        return leaseId;
     }
 
     /** The event loop's time, in ms, until which the lease proves that no other node was elected. */
@@ -64,28 +69,28 @@
 
     /** Renews the lease if that is due and no renewal is under way. */
     void renewIfDue() {
-        if (!stopped && !renewing && loop.now() >= renewDueAt) {
+        if (!stopped && !renewalInFlight && loop.now() >= nextRenewalAt) {
             renew();
         }
     }
 
     private void renewAfter(long delayMs) {
-        renewDueAt = loop.now() + delayMs;
+        nextRenewalAt = loop.now() + delayMs;
         loop.after(delayMs, this::renewIfDue);
     }
 
     private void renew() {
-        renewing = true;
+        renewalInFlight = true;
         long sentAt = loop.now();
-        store.renewLease(lease, renewal -> {
+        store.renewLease(leaseId, renewal -> {
             if (!stopped) {
-                renewing = false;
-                renewed(renewal, sentAt);
+                renewalInFlight = false;
+                handleRenewal(renewal, sentAt);
             }
         });
     }
 
-    private void renewed(LeaseRenewal renewal, long sentAt) {
+    private void handleRenewal(LeaseRenewal renewal, long sentAt) {
         switch (renewal) {
             case RENEWED -> {
                 validUntil = Math.max(validUntil, settings.leadershipEndsAt(sentAt));
--- a/src/main/java/org/spoolline/peer/PeerCodec.java
+++ b/src/main/java/org/spoolline/peer/PeerCodec.java
@@ -19,7 +19,7 @@
     private static final String BODY = "body";
     private static final String STATUS = "status";
     private static final String RETRY_AFTER_S = "retry";
-    private static final String CANCELLED_JOB = "uid";
+    private static final String CANCELLED_JOB_ID = "uid";
 
     private PeerCodec() {}
 
@@ -84,11 +84,11 @@
 
     /** Encodes the notification that a job's cancellation was confirmed to its user. */
     static byte[] encodeCancellation(String jobId) {
-        return Cbor.bytes(Cbor.object().put(CANCELLED_JOB, jobId));
+        return Cbor.bytes(Cbor.object().put(CANCELLED_JOB_ID, jobId));
     }
 
     /** The cancelled job's id; empty text, which is no job's id, when the bytes hold none. */
     static String decodeCancellation(byte[] bytes) {
-        return Cbor.read(bytes).path(CANCELLED_JOB).asText();
+        return Cbor.read(bytes).path(CANCELLED_JOB_ID).asText();
     }
 }
--- a/src/main/java/org/spoolline/peer/PeerService.java
+++ b/src/main/java/org/spoolline/peer/PeerService.java
@@ -19,9 +19,9 @@
  * <p>All methods are called on the event loop.
  */
 public final class PeerService {
-    private static final String STATUS = "/status";
-    private static final String FORWARD = "/forward";
-    private static final String CANCELLED = "/cancelled";
+    private static final String STATUS_PATH = "/status";
+    private static final String FORWARD_PATH = "/forward";
+    private static final String CANCELLED_PATH = "/cancelled";
     private static final byte[] NO_BODY = new byte[0];
     private static final Http.Response OK = Http.Response.of(200, NO_BODY);
     private static final Http.Response BAD_REQUEST = Http.Response.of(400, NO_BODY);
@@ -31,9 +31,9 @@
     private static final long STATUS_VALID_MS = 2 * Constants.Peer.PEER_PING_MS + Constants.Peer.PEER_TIMEOUT_MS;
 
     /** What peers may ask of this node. */
-    public interface Local {
+    public interface LocalNode {
         /** Serves a user's request that a peer has forwarded. */
-        void handle(Http.Request request, Consumer<Http.Response> answer);
+        void handle(Http.Request request, Consumer<Http.Response> responder);
 
         /** True when workers send heartbeats to this node. */
         boolean receivesHeartbeats();
@@ -50,7 +50,7 @@
     private final Settings settings;
     private final KeyValueStoreClient store;
     private final LeaderElection election;
-    private final Local local;
+    private final LocalNode localNode;
     private final Map<String, ReceivedStatus> statusByNode = new HashMap<>();
 
     /** A service that sends nothing before {@link #start}. */
@@ -60,13 +60,13 @@
             Settings settings,
             KeyValueStoreClient store,
             LeaderElection election,
-            Local local) {
+            LocalNode localNode) {
         this.loop = loop;
         this.http = http;
         this.settings = settings;
         this.store = store;
         this.election = election;
-        this.local = local;
+        this.localNode = localNode;
     }
 
     /** Begins to exchange statuses with each peer. */
@@ -77,37 +77,38 @@
     }
 
     private void exchangeStatus(Settings.Peer peer) {
-        send(peer, STATUS, PeerCodec.encode(localStatus()), reply -> {
+        send(peer, STATUS_PATH, PeerCodec.encode(localStatus()), reply -> {
             if (reply.ok()) {
-                observeStatus(reply.body());
+                recordStatus(reply.body());
             }
             loop.after(Constants.Peer.PEER_PING_MS, () -> exchangeStatus(peer));
         });
     }
 
     /** Serves a peer's request to the internal address. */
-    public void handle(Http.Request request, Consumer<Http.Response> answer) {
+    public void handle(Http.Request request, Consumer<Http.Response> responder) {
         switch (request.path()) {
-            case STATUS -> {
-                observeStatus(request.body());
-                answer.accept(Http.Response.of(200, PeerCodec.encode(localStatus())));
+            case STATUS_PATH -> {
+                recordStatus(request.body());
+                responder.accept(Http.Response.of(200, PeerCodec.encode(localStatus())));
             }
-            case FORWARD -> handleForwarded(request, answer);
-            case CANCELLED -> {
-                local.jobCancelled(PeerCodec.decodeCancellation(request.body()));
-                answer.accept(OK);
+            case FORWARD_PATH -> handleForwarded(request, responder);
+            case CANCELLED_PATH -> {
+                localNode.jobCancelled(PeerCodec.decodeCancellation(request.body()));
+                responder.accept(OK);
             }
-            default -> answer.accept(NOT_FOUND);
+            default -> responder.accept(NOT_FOUND);
         }
     }
 
-    private void handleForwarded(Http.Request request, Consumer<Http.Response> answer) {
+    private void handleForwarded(Http.Request request, Consumer<Http.Response> responder) {
         Optional<Http.Request> forwarded = PeerCodec.decodeRequest(request.body());
         if (forwarded.isEmpty()) {
-            answer.accept(BAD_REQUEST);
+            responder.accept(BAD_REQUEST);
             return;
         }
-        local.handle(forwarded.get(), response -> answer.accept(Http.Response.of(200, PeerCodec.encode(response))));
+        localNode.handle(
+                forwarded.get(), response -> responder.accept(Http.Response.of(200, PeerCodec.encode(response))));
     }
 
     /**
@@ -119,7 +120,7 @@
         String leader = election.knownLeader().orElse("");
         for (Settings.Peer peer : settings.peers()) {
             if (peer.node().equals(leader)) {
-                send(peer, CANCELLED, PeerCodec.encodeCancellation(cancelledJobId), reply -> {});
+                send(peer, CANCELLED_PATH, PeerCodec.encodeCancellation(cancelledJobId), reply -> {});
             }
         }
     }
@@ -127,13 +128,17 @@
     /**
      * Forwards a user's request to a peer that reaches the key-value store.
      *
-     * @return false when no peer is known to reach it; {@code answer} is then not called
+     * @return false when no peer is known to reach it; {@code responder} is then not called
      */
-    public boolean forward(Http.Request request, Consumer<Http.Response> answer) {
+    public boolean forward(Http.Request request, Consumer<Http.Response> responder) {
         for (Settings.Peer peer : settings.peers()) {
-            ReceivedStatus last = statusByNode.get(peer.node());
-            if (last != null && reachesStore(last)) {
-                send(peer, FORWARD, PeerCodec.encode(request), reply -> answer.accept(forwardedResponse(reply)));
+            ReceivedStatus received = statusByNode.get(peer.node());
+            if (received != null && reachesStore(received)) {
+                send(
+                        peer,
+                        FORWARD_PATH,
+                        PeerCodec.encode(request),
+                        reply -> responder.accept(forwardedResponse(reply)));
                 return true;
             }
         }
@@ -145,14 +150,14 @@
     }
 
     /** True when a peer that reaches the key-value store has lately said that workers send heartbeats to it. */
-    public boolean anyReceivesHeartbeats() {
+    public boolean anyPeerReceivesHeartbeats() {
         return statusByNode.values().stream()
                 .anyMatch(
                         received -> reachesStore(received) && received.status().receivesHeartbeats());
     }
 
     /** True when a peer has lately said that it reaches the key-value store. */
-    public boolean anyReachesStore() {
+    public boolean anyPeerReachesStore() {
         return statusByNode.values().stream().anyMatch(this::reachesStore);
     }
 
@@ -162,17 +167,17 @@
 
     private PeerStatus localStatus() {
         return new PeerStatus(
-                settings.node(), election.highestKnownToken(), store.reachable(), local.receivesHeartbeats());
+                settings.node(), election.highestKnownToken(), store.reachable(), localNode.receivesHeartbeats());
     }
 
-    private void observeStatus(byte[] message) {
+    private void recordStatus(byte[] message) {
         PeerCodec.decodeStatus(message).ifPresent(status -> {
             statusByNode.put(status.node(), new ReceivedStatus(status, loop.now()));
             election.observeToken(status.token());
         });
     }
 
-    private void send(Settings.Peer peer, String path, byte[] message, Consumer<Http.Reply> done) {
-        http.call(peer.address(), "POST", path, message, Constants.Peer.PEER_TIMEOUT_MS, done);
+    private void send(Settings.Peer peer, String path, byte[] message, Consumer<Http.Reply> onReply) {
+        http.call(peer.address(), "POST", path, message, Constants.Peer.PEER_TIMEOUT_MS, onReply);
     }
 }
--- a/src/main/java/org/spoolline/upgrade/VersionRegistry.java
+++ b/src/main/java/org/spoolline/upgrade/VersionRegistry.java
@@ -30,10 +30,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(VersionRegistry.class);
 
     /** Whether all controllers run this version or a later one. */
-    public enum Answer {
+    public enum UpgradeStatus {
         ALL_UPGRADED,
         /** At least one controller is not recorded yet. */
-        SOME_MAY_BE_OLDER,
+        NOT_ALL_RECORDED,
         /** The key-value store did not answer. */
         UNKNOWN
     }
@@ -44,7 +44,7 @@
     /** Never false again once it is true, since records are never removed. */
     private boolean allUpgraded;
 
-    /** A registry that records nothing before {@link #start}. */
+    /** A registry that records nothing before {@link #recordThisController}. */
     public VersionRegistry(EventLoop loop, KeyValueStoreClient store, Settings settings) {
         this.loop = loop;
         this.store = store;
@@ -52,7 +52,7 @@
     }
 
     /** Records this controller, unless an earlier process of it has done so; repeated until the store has answered. */
-    public void start() {
+    public void recordThisController() {
         String key = KEY_PREFIX + settings.node();
         store.acquireWithDebt(1);
         Transaction transaction = new Transaction()
@@ -61,23 +61,23 @@
         store.commit(transaction, result -> {
             switch (result.outcome()) {
                 case APPLIED, CONFLICT -> LOG.debug("Recorded the version of this controller: key={}", key);
-                default -> loop.after(Constants.Time.RETRY_MS, this::start);
+                default -> loop.after(Constants.Time.RETRY_MS, this::recordThisController);
             }
         });
     }
 
     /** Answers at once when all are known to be upgraded, otherwise from the key-value store. */
-    public void ask(Consumer<Answer> done) {
+    public void checkUpgradeStatus(Consumer<UpgradeStatus> onStatus) {
         if (allUpgraded) {
-            done.accept(Answer.ALL_UPGRADED);
+            onStatus.accept(UpgradeStatus.ALL_UPGRADED);
             return;
         }
         store.list(KEY_PREFIX, listing -> {
             if (!listing.answered()) {
-                done.accept(Answer.UNKNOWN);
+                onStatus.accept(UpgradeStatus.UNKNOWN);
                 return;
             }
-            Set<String> unrecorded = controllers();
+            Set<String> unrecorded = controllerNodes();
             for (VersionedValue entry : listing.values()) {
                 unrecorded.remove(entry.key().substring(KEY_PREFIX.length()));
             }
@@ -85,14 +85,14 @@
                 allUpgraded = true;
                 LOG.info(
                         "All controllers upgraded, accepting jobs with dependencies: controllers={}",
-                        controllers().size());
+                        controllerNodes().size());
             }
-            done.accept(allUpgraded ? Answer.ALL_UPGRADED : Answer.SOME_MAY_BE_OLDER);
+            onStatus.accept(allUpgraded ? UpgradeStatus.ALL_UPGRADED : UpgradeStatus.NOT_ALL_RECORDED);
         });
     }
 
     /** The node names of all configured controllers, in a new set. */
-    private Set<String> controllers() {
+    private Set<String> controllerNodes() {
         Set<String> nodes = new HashSet<>();
         nodes.add(settings.node());
         settings.peers().forEach(peer -> nodes.add(peer.node()));
--- a/src/test/java/org/spoolline/api/AncestorCheckerTest.java
+++ b/src/test/java/org/spoolline/api/AncestorCheckerTest.java
@@ -32,7 +32,7 @@
      * direction and from whatever element, is the one of this list.
      */
     @Test
-    void dependenciesAreReadInTheOrderGivenAndEachOnce() throws SettingsException {
+    void readsEachDependencyOnceInGivenOrder() throws SettingsException {
         ancestorChecker().check(List.of("c", "a", "e", "a", "b", "f", "d", "c"), verdict -> {});
         assertEquals(
                 List.of("/keys/job/c", "/keys/job/a", "/keys/job/e", "/keys/job/b", "/keys/job/f", "/keys/job/d"),
@@ -41,7 +41,7 @@
 
     /** Clients get other responses by another order, see {@link AncestorVerdict}. */
     @Test
-    void theVerdictOfHigherPrecedenceIsKeptInEitherOrder() {
+    void combineReturnsVerdictOfHigherPrecedence() {
         List<AncestorVerdict> ascending = List.of(
                 AncestorVerdict.NONE_CANCELLED,
                 AncestorVerdict.CANCELLED,
--- a/src/test/java/org/spoolline/api/JobApiFixture.java
+++ b/src/test/java/org/spoolline/api/JobApiFixture.java
@@ -50,7 +50,7 @@
     /** Jobs whose cancellation the API has confirmed, in order. */
     final List<String> confirmedCancellations = new ArrayList<>();
     /** Statuses of the replies to the next transactions, instead of what they would be. */
-    final List<Integer> nextCommitStatuses = new ArrayList<>();
+    final List<Integer> overriddenCommitStatuses = new ArrayList<>();
 
     boolean storeReachable = true;
     private final Map<String, Stored> values = new LinkedHashMap<>();
@@ -113,7 +113,7 @@
     }
 
     /** Spends the budget until status requests are batched, and stay so for a few tenths of a second. */
-    void spendBudgetUntilLow() {
+    void spendRequestBudgetUntilLow() {
         while (!store.requestBudgetLow()) {
             store.tryAcquire(0);
         }
@@ -123,10 +123,10 @@
     }
 
     /** Spends the whole budget. */
-    void spendBudget() {
-        boolean left = true;
-        while (left) {
-            left = store.tryAcquire(0);
+    void spendRequestBudget() {
+        boolean acquired = true;
+        while (acquired) {
+            acquired = store.tryAcquire(0);
         }
     }
 
@@ -145,12 +145,12 @@
     /** The response as one line, or all of them where there is not exactly one. */
     String request(String method, String path, byte[] body) {
         List<String> responses = new ArrayList<>();
-        api.handle(new Http.Request(method, path, "", body), response -> responses.add(line(response)));
+        api.handle(new Http.Request(method, path, "", body), response -> responses.add(formatResponse(response)));
         return responses.size() == 1 ? responses.get(0) : responses.toString();
     }
 
     /** Status, Retry-After in seconds where there is one, and body. */
-    static String line(Http.Response response) {
+    static String formatResponse(Http.Response response) {
         String retryAfter = response.retryAfterS() == 0 ? "" : " retry-after=" + response.retryAfterS();
         return response.status() + retryAfter + " " + new String(response.body(), UTF_8);
     }
@@ -195,8 +195,8 @@
     }
 
     private Http.Reply commit(JsonNode transaction) {
-        if (!nextCommitStatuses.isEmpty()) {
-            return new Http.Reply(nextCommitStatuses.remove(0), Json.bytes(Json.object()));
+        if (!overriddenCommitStatuses.isEmpty()) {
+            return new Http.Reply(overriddenCommitStatuses.remove(0), Json.bytes(Json.object()));
         }
         ObjectNode conflict = Json.object();
         ArrayNode failed = conflict.putArray("failed");
--- a/src/test/java/org/spoolline/api/JobApiRequestsTest.java
+++ b/src/test/java/org/spoolline/api/JobApiRequestsTest.java
@@ -15,35 +15,35 @@
 class JobApiRequestsTest {
     private static final String NO_SUCH_JOB = "404 {\"error\":\"no such job\"}";
     private static final String METHOD_NOT_ALLOWED = "405 {\"error\":\"method not allowed\"}";
-    private static final String NOT_NOW = "503 retry-after=1 {\"error\":\"not now\"}";
+    private static final String UNAVAILABLE = "503 retry-after=1 {\"error\":\"not now\"}";
     private static final String TOO_MANY_REQUESTS = "429 retry-after=1 {\"error\":\"too many requests\"}";
 
     private JobApiFixture fixture;
 
     @BeforeEach
-    void create() throws SettingsException {
+    void createFixture() throws SettingsException {
         fixture = JobApiFixture.ready();
     }
 
-    private static String malformed(String what) {
-        return "400 {\"error\":\"malformed: " + what + "\"}";
+    private static String malformed(String reason) {
+        return "400 {\"error\":\"malformed: " + reason + "\"}";
     }
 
-    private static String neverRuns(String why) {
-        return "422 {\"error\":\"" + why + "\"}";
+    private static String unsatisfiable(String reason) {
+        return "422 {\"error\":\"" + reason + "\"}";
     }
 
-    private void expect(String response, String... fields) {
-        assertEquals(response, fixture.submit(JobApiFixture.submission(fields)), shortened(fields));
+    private void assertSubmissionResponse(String response, String... fields) {
+        assertEquals(response, fixture.submit(JobApiFixture.submission(fields)), abbreviate(fields));
     }
 
-    private static String shortened(String... fields) {
-        String all = String.join(" ", fields);
-        return all.substring(0, Math.min(200, all.length()));
+    private static String abbreviate(String... fields) {
+        String joined = String.join(" ", fields);
+        return joined.substring(0, Math.min(200, joined.length()));
     }
 
     @Test
-    void pathsOfTheApi() {
+    void servesOnlySubmissionPaths() {
         assertTrue(JobApi.serves("/submissions"));
         assertTrue(JobApi.serves("/submissions/"));
         assertTrue(JobApi.serves("/submissions/run-1/abort"));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void methodsThatAreNotAllowed() {
+    void rejectsMethodsThatAreNotAllowed() {
         for (String method : List.of("GET", "PUT", "DELETE", "HEAD", "post")) {
             assertEquals("405 {\"error\":\"use POST\"}", fixture.request(method, "/submissions"), method);
         }
@@ -66,9 +66,10 @@
     }
 
     @Test
-    void idsThatNoJobCanHaveAreUnknownWhateverTheMethod() {
-        List<String> odd = List.of("", "run-", "run-x", "RUN-1", "run-1 ", "run-1/", "run-1/x", "run--1", "abort");
-        for (String jobId : odd) {
+    void respondsNotFoundToInvalidJobIdsForEveryMethod() {
+        List<String> invalidIds =
+                List.of("", "run-", "run-x", "RUN-1", "run-1 ", "run-1/", "run-1/x", "run--1", "abort");
+        for (String jobId : invalidIds) {
             for (String method : List.of("GET", "POST", "PUT")) {
                 assertEquals(NO_SUCH_JOB, fixture.request(method, "/submissions/" + jobId), jobId);
                 assertEquals(NO_SUCH_JOB, fixture.request(method, "/submissions/" + jobId + "/abort"), jobId);
@@ -80,13 +81,13 @@
     }
 
     @Test
-    void jobsThatWereNeverAcceptedAreUnknown() {
+    void respondsNotFoundForJobsNeverAccepted() {
         assertEquals(NO_SUCH_JOB, fixture.request("GET", "/submissions/run-9"));
         assertEquals(NO_SUCH_JOB, fixture.request("POST", "/submissions/run-9/abort"));
     }
 
     @Test
-    void bodiesThatAreNoObject() {
+    void rejectsBodiesThatAreNotJsonObjects() {
         for (String body : List.of("", "[]", "null", "7", "{", "\u0000")) {
             assertEquals(
                     malformed("the body is not a JSON object"),
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void theFirstMalformedFieldIsNamed() {
+    void namesFirstMalformedField() {
         List<String> required = List.of(
                 "uid",
                 "shape",
@@ -117,26 +118,27 @@
                 "bookmarkS",
                 "stashS");
         for (String field : required) {
-            expect(malformed(field), field, null);
-            expect(malformed(field), field, "null");
-            expect(malformed(field), field, "[]");
+            assertSubmissionResponse(malformed(field), field, null);
+            assertSubmissionResponse(malformed(field), field, "null");
+            assertSubmissionResponse(malformed(field), field, "[]");
         }
-        expect(malformed("builds"), "builds", "[]");
-        expect(malformed("builds"), "builds", "\"small\"");
-        expect(malformed("yard"), "yard", "\"\"");
-        expect(malformed("dueS"), "dueS", "-1");
-        expect(malformed("waitsOn"), "waitsOn", "[\"odd\"]");
-        expect(malformed("waitsOn"), "waitsOn", "{}");
-        expect(malformed("slips"), "slips", "100001");
-        expect(malformed("lane"), "lane", "\"" + "x".repeat(201) + "\"");
+        assertSubmissionResponse(malformed("builds"), "builds", "[]");
+        assertSubmissionResponse(malformed("builds"), "builds", "\"small\"");
+        assertSubmissionResponse(malformed("yard"), "yard", "\"\"");
+        assertSubmissionResponse(malformed("dueS"), "dueS", "-1");
+        assertSubmissionResponse(malformed("waitsOn"), "waitsOn", "[\"odd\"]");
+        assertSubmissionResponse(malformed("waitsOn"), "waitsOn", "{}");
+        assertSubmissionResponse(malformed("slips"), "slips", "100001");
+        assertSubmissionResponse(malformed("lane"), "lane", "\"" + "x".repeat(201) + "\"");
         assertEquals(List.of(), fixture.storeRequests);
     }
 
     @Test
-    void descriptionsThatNoValueHolds() {
-        expect("201 {\"uid\":\"run-1\",\"status\":\"pending\"}", "builds", machineTypes(100));
-        expect(malformed("the description is over 4096 bytes"), "uid", "\"run-2\"", "builds", machineTypes(400));
-        expect(
+    void rejectsDescriptionsOverValueLimit() {
+        assertSubmissionResponse("201 {\"uid\":\"run-1\",\"status\":\"pending\"}", "builds", machineTypes(100));
+        assertSubmissionResponse(
+                malformed("the description is over 4096 bytes"), "uid", "\"run-2\"", "builds", machineTypes(400));
+        assertSubmissionResponse(
                 malformed("the description is over 6963 bytes"),
                 "uid",
                 "\"run-3\"",
@@ -155,31 +157,34 @@
     }
 
     @Test
-    void jobsThatCanNeverRun() {
-        expect(neverRuns("unknown team nobody"), "desk", "\"nobody\"", "waitsOn", "[\"run-1\"]");
-        expect(neverRuns("the job waits on itself"), "waitsOn", "[\"run-2\",\"run-1\"]", "cores", "40");
-        expect(neverRuns("over the limit of team t"), "cores", "12.1");
-        expect(neverRuns("over the limit of team t"), "accelerators", "2");
-        expect(neverRuns("over the limit of team t"), "shape", "\"group\"", "slips", "13");
-        expect(neverRuns("a task fits no allowed machine type"), "memGb", "65");
-        expect(neverRuns("a task fits no allowed machine type"), "yard", "\"c\"");
-        expect(neverRuns("a task fits no allowed machine type"), "builds", "[\"unknown\"]");
-        expect(neverRuns("a task fits no allowed machine type"), "builds", "[\"small\"]", "cores", "5");
-        expectGangOverOneZone("samePlace", "true");
-        expectGangOverOneZone("yard", "\"b\"");
-        expectGangOverOneZone("builds", "[\"large\"]");
+    void rejectsUnsatisfiableJobs() {
+        assertSubmissionResponse(unsatisfiable("unknown team nobody"), "desk", "\"nobody\"", "waitsOn", "[\"run-1\"]");
+        assertSubmissionResponse(
+                unsatisfiable("the job waits on itself"), "waitsOn", "[\"run-2\",\"run-1\"]", "cores", "40");
+        assertSubmissionResponse(unsatisfiable("over the limit of team t"), "cores", "12.1");
+        assertSubmissionResponse(unsatisfiable("over the limit of team t"), "accelerators", "2");
+        assertSubmissionResponse(unsatisfiable("over the limit of team t"), "shape", "\"group\"", "slips", "13");
+        assertSubmissionResponse(unsatisfiable("a task fits no allowed machine type"), "memGb", "65");
+        assertSubmissionResponse(unsatisfiable("a task fits no allowed machine type"), "yard", "\"c\"");
+        assertSubmissionResponse(unsatisfiable("a task fits no allowed machine type"), "builds", "[\"unknown\"]");
+        assertSubmissionResponse(
+                unsatisfiable("a task fits no allowed machine type"), "builds", "[\"small\"]", "cores", "5");
+        assertGangInOneZoneRejected("samePlace", "true");
+        assertGangInOneZoneRejected("yard", "\"b\"");
+        assertGangInOneZoneRejected("builds", "[\"large\"]");
         assertFalse(fixture.storeRequests.contains("POST /commit"), "something was committed");
     }
 
-    private void expectGangOverOneZone(String field, String value) {
-        String why = "a gang can't be spread over one zone";
-        expect(neverRuns(why), "shape", "\"group\"", "slips", "2", "scatter", "true", field, value);
+    private void assertGangInOneZoneRejected(String field, String value) {
+        String reason = "a gang can't be spread over one zone";
+        assertSubmissionResponse(
+                unsatisfiable(reason), "shape", "\"group\"", "slips", "2", "scatter", "true", field, value);
     }
 
     @Test
-    void limitsThatAreJustMet() {
-        expect("201 {\"uid\":\"run-1\",\"status\":\"pending\"}", "cores", "12.0");
-        expect(
+    void acceptsJobsExactlyAtLimits() {
+        assertSubmissionResponse("201 {\"uid\":\"run-1\",\"status\":\"pending\"}", "cores", "12.0");
+        assertSubmissionResponse(
                 "201 {\"uid\":\"run-2\",\"status\":\"pending\"}",
                 "uid",
                 "\"run-2\"",
@@ -189,8 +194,9 @@
                 "12",
                 "scatter",
                 "true");
-        expect("201 {\"uid\":\"run-3\",\"status\":\"pending\"}", "uid", "\"run-3\"", "slips", "100000");
-        expect(
+        assertSubmissionResponse(
+                "201 {\"uid\":\"run-3\",\"status\":\"pending\"}", "uid", "\"run-3\"", "slips", "100000");
+        assertSubmissionResponse(
                 "201 {\"uid\":\"run-4\",\"status\":\"pending\"}",
                 "uid",
                 "\"run-4\"",
@@ -206,53 +212,53 @@
 
     /** What this node thinks of a job now does not count once the job is accepted. */
     @Test
-    void anAcceptedJobIsNotRejectedWhenItIsSubmittedAgain() throws SubmissionCodec.Malformed {
+    void resubmissionOfAcceptedJobIsNotRejected() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
         String status = "200 {\"uid\":\"run-1\",\"status\":\"pending\",\"done\":0,\"running\":0}";
-        expect(status);
-        expect(status, "desk", "\"nobody\"");
-        expect(status, "builds", machineTypes(400));
-        expect(malformed("cores"), "cores", "0");
+        assertSubmissionResponse(status);
+        assertSubmissionResponse(status, "desk", "\"nobody\"");
+        assertSubmissionResponse(status, "builds", machineTypes(400));
+        assertSubmissionResponse(malformed("cores"), "cores", "0");
     }
 
     @Test
-    void dependenciesThatCanNeverBeDone() throws SubmissionCodec.Malformed {
+    void rejectsDependenciesThatCanNeverBeSatisfied() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission("uid", "\"run-7\"", "shape", "\"standing\""));
-        String why = "waitsOn names a job that was never accepted, or a service";
-        expect(neverRuns(why), "waitsOn", "[\"run-7\"]");
-        expect(neverRuns(why), "waitsOn", "[\"run-8\"]");
+        String reason = "waitsOn names a job that was never accepted, or a service";
+        assertSubmissionResponse(unsatisfiable(reason), "waitsOn", "[\"run-7\"]");
+        assertSubmissionResponse(unsatisfiable(reason), "waitsOn", "[\"run-8\"]");
     }
 
     @Test
-    void withoutMachineTypesNothingIsAccepted() throws SettingsException {
+    void respondsUnavailableWhileMachineTypesAreUnknown() throws SettingsException {
         fixture = new JobApiFixture();
-        expect(NOT_NOW);
-        expect(NOT_NOW, "desk", "\"nobody\"");
-        expect(malformed("uid"), "uid", null);
+        assertSubmissionResponse(UNAVAILABLE);
+        assertSubmissionResponse(UNAVAILABLE, "desk", "\"nobody\"");
+        assertSubmissionResponse(malformed("uid"), "uid", null);
         assertEquals(List.of(), fixture.storeRequests);
     }
 
     @Test
-    void withoutAKeyValueStoreRequestsAreToComeAgain() {
+    void respondsUnavailableWhileStoreIsUnreachable() {
         fixture.storeReachable = false;
-        expect(NOT_NOW);
-        expect(NOT_NOW, "desk", "\"nobody\"");
-        expect(NOT_NOW, "waitsOn", "[\"run-8\"]");
-        assertEquals(NOT_NOW, fixture.request("GET", "/submissions/run-1"));
-        assertEquals(NOT_NOW, fixture.request("POST", "/submissions/run-1/abort"));
-        expect(malformed("uid"), "uid", null);
+        assertSubmissionResponse(UNAVAILABLE);
+        assertSubmissionResponse(UNAVAILABLE, "desk", "\"nobody\"");
+        assertSubmissionResponse(UNAVAILABLE, "waitsOn", "[\"run-8\"]");
+        assertEquals(UNAVAILABLE, fixture.request("GET", "/submissions/run-1"));
+        assertEquals(UNAVAILABLE, fixture.request("POST", "/submissions/run-1/abort"));
+        assertSubmissionResponse(malformed("uid"), "uid", null);
     }
 
     @Test
-    void withoutBudgetRequestsAreToComeAgain() {
-        fixture.spendBudget();
-        expect(TOO_MANY_REQUESTS);
-        expect(TOO_MANY_REQUESTS, "desk", "\"nobody\"");
+    void respondsTooManyRequestsWhenRequestBudgetIsSpent() {
+        fixture.spendRequestBudget();
+        assertSubmissionResponse(TOO_MANY_REQUESTS);
+        assertSubmissionResponse(TOO_MANY_REQUESTS, "desk", "\"nobody\"");
         assertEquals(TOO_MANY_REQUESTS, fixture.request("GET", "/submissions/run-1"));
         assertEquals(TOO_MANY_REQUESTS, fixture.request("POST", "/submissions/run-1/abort"));
-        expect(malformed("uid"), "uid", null);
+        assertSubmissionResponse(malformed("uid"), "uid", null);
         assertEquals(List.of(), fixture.storeRequests);
-        expect(TOO_MANY_REQUESTS, "waitsOn", "[\"run-8\"]");
+        assertSubmissionResponse(TOO_MANY_REQUESTS, "waitsOn", "[\"run-8\"]");
         assertEquals(1, fixture.storeRequests.size(), "only the controllers' versions are read");
     }
 }
--- a/src/test/java/org/spoolline/api/JobApiStatusTest.java
+++ b/src/test/java/org/spoolline/api/JobApiStatusTest.java
@@ -16,7 +16,7 @@
 class JobApiStatusTest {
     private static final String PENDING = "200 {\"uid\":\"run-1\",\"status\":\"pending\",\"done\":0,\"running\":0}";
     private static final String ABORTED = "200 {\"uid\":\"run-1\",\"status\":\"aborted\"}";
-    private static final String NOT_NOW = "503 retry-after=1 {\"error\":\"not now\"}";
+    private static final String UNAVAILABLE = "503 retry-after=1 {\"error\":\"not now\"}";
     private static final String TOO_MANY_REQUESTS = "429 retry-after=1 {\"error\":\"too many requests\"}";
     private static final String READ_LIVE = "GET /keys/job/run-1";
     private static final String COMMIT = "POST /commit";
@@ -24,7 +24,7 @@
     private JobApiFixture fixture;
 
     @BeforeEach
-    void create() throws SettingsException {
+    void createFixture() throws SettingsException {
         fixture = JobApiFixture.ready();
     }
 
@@ -36,7 +36,7 @@
         return fixture.request("POST", "/submissions/run-1/abort");
     }
 
-    private List<String> takeStoreRequests() {
+    private List<String> drainStoreRequests() {
         List<String> requests = List.copyOf(fixture.storeRequests);
         fixture.storeRequests.clear();
         return requests;
@@ -47,44 +47,44 @@
         List<String> responses = new ArrayList<>();
         for (String jobId : jobIds) {
             Http.Request request = new Http.Request("GET", "/submissions/" + jobId, "", new byte[0]);
-            fixture.api.handle(request, response -> responses.add(JobApiFixture.line(response)));
+            fixture.api.handle(request, response -> responses.add(JobApiFixture.formatResponse(response)));
         }
         return responses;
     }
 
-    private void endWith(String jobId, String terminalRecord) {
+    private void recordTerminalState(String jobId, String terminalRecord) {
         fixture.remove("job/" + jobId);
         fixture.put("final/" + jobId, JobApiFixture.json(terminalRecord));
     }
 
     @Test
-    void statusFromAcceptedToDone() {
+    void reportsStatusFromAcceptanceToCompletion() {
         assertEquals("201 {\"uid\":\"run-1\",\"status\":\"pending\"}", fixture.submit(JobApiFixture.submission()));
         assertEquals(PENDING, status());
         assertEquals(PENDING, fixture.submit(JobApiFixture.submission()));
-        endWith("run-1", "{\"end\":\"done\",\"done\":1}");
-        takeStoreRequests();
+        recordTerminalState("run-1", "{\"end\":\"done\",\"done\":1}");
+        drainStoreRequests();
         String done = "200 {\"uid\":\"run-1\",\"status\":\"done\",\"done\":1,\"running\":0}";
         assertEquals(done, status());
-        assertEquals(List.of(READ_LIVE, "GET /keys/final/run-1"), takeStoreRequests());
+        assertEquals(List.of(READ_LIVE, "GET /keys/final/run-1"), drainStoreRequests());
         fixture.storeReachable = false;
         assertEquals(done, status());
         assertEquals(done, fixture.submit(JobApiFixture.submission()));
-        assertEquals(List.of(), takeStoreRequests());
+        assertEquals(List.of(), drainStoreRequests());
     }
 
     @Test
-    void cancellationOfALiveJob() throws SubmissionCodec.Malformed {
+    void cancelsLiveJob() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
         assertEquals(ABORTED, cancel());
         assertEquals(true, fixture.value("job/run-1").path("cancelled").asBoolean());
-        assertEquals(List.of(READ_LIVE, COMMIT), takeStoreRequests());
+        assertEquals(List.of(READ_LIVE, COMMIT), drainStoreRequests());
         assertEquals(ABORTED, cancel());
-        assertEquals(List.of(READ_LIVE), takeStoreRequests());
+        assertEquals(List.of(READ_LIVE), drainStoreRequests());
         assertEquals(ABORTED, status());
         assertEquals(ABORTED, fixture.submit(JobApiFixture.submission()));
         assertEquals(List.of("run-1", "run-1"), fixture.confirmedCancellations);
-        endWith("run-1", "{\"end\":\"aborted\",\"done\":0}");
+        recordTerminalState("run-1", "{\"end\":\"aborted\",\"done\":0}");
         String terminal = "200 {\"uid\":\"run-1\",\"status\":\"aborted\",\"done\":0,\"running\":0}";
         assertEquals(terminal, cancel());
         assertEquals(terminal, status());
@@ -92,36 +92,36 @@
     }
 
     @Test
-    void aCancellationIsTriedAgainAfterAConcurrentChange() throws SubmissionCodec.Malformed {
+    void retriesCancellationAfterConcurrentChange() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
-        fixture.nextCommitStatuses.addAll(List.of(409, 400, 409, 409));
+        fixture.overriddenCommitStatuses.addAll(List.of(409, 400, 409, 409));
         assertEquals(ABORTED, cancel());
-        assertEquals(10, takeStoreRequests().size());
+        assertEquals(10, drainStoreRequests().size());
         fixture.accept(JobApiFixture.submission());
-        fixture.nextCommitStatuses.addAll(List.of(409, 409, 409, 409, 409));
-        assertEquals(NOT_NOW, cancel());
-        assertEquals(10, takeStoreRequests().size());
-        fixture.nextCommitStatuses.add(503);
-        assertEquals(NOT_NOW, cancel());
-        assertEquals(2, takeStoreRequests().size());
+        fixture.overriddenCommitStatuses.addAll(List.of(409, 409, 409, 409, 409));
+        assertEquals(UNAVAILABLE, cancel());
+        assertEquals(10, drainStoreRequests().size());
+        fixture.overriddenCommitStatuses.add(503);
+        assertEquals(UNAVAILABLE, cancel());
+        assertEquals(2, drainStoreRequests().size());
     }
 
     @Test
-    void aSubmissionWhoseOutcomeIsUnknownIsToComeAgain() {
+    void respondsUnavailableWhenSubmissionOutcomeIsUnknown() {
         for (int status : List.of(0, 400, 409, 429, 503)) {
-            fixture.nextCommitStatuses.add(status);
-            assertEquals(NOT_NOW, fixture.submit(JobApiFixture.submission()), "commit answered " + status);
+            fixture.overriddenCommitStatuses.add(status);
+            assertEquals(UNAVAILABLE, fixture.submit(JobApiFixture.submission()), "commit answered " + status);
         }
     }
 
     @Test
-    void aJobIsCancelledWithItsDependencies() throws SubmissionCodec.Malformed {
+    void cancelsJobWithItsDependency() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission("uid", "\"run-2\""));
         String accepted = "201 {\"uid\":\"run-1\",\"status\":\"pending\"}";
         assertEquals(accepted, fixture.submit(JobApiFixture.submission("waitsOn", "[\"run-2\"]")));
         assertEquals(PENDING, status());
         fixture.loop.runTo(60_000);
-        endWith("run-2", "{\"end\":\"aborted\",\"done\":0}");
+        recordTerminalState("run-2", "{\"end\":\"aborted\",\"done\":0}");
         assertEquals(ABORTED, status());
         assertEquals(List.of("run-1"), fixture.confirmedCancellations);
         assertEquals(
@@ -131,8 +131,8 @@
 
     /** That a dependency can never be done counts more than that another is cancelled, in either order. */
     @Test
-    void aDependencyThatWasNeverAcceptedCountsMoreThanACancelledOne() {
-        endWith("run-2", "{\"end\":\"aborted\",\"done\":0}");
+    void neverAcceptedDependencyOutranksCancelledDependency() {
+        recordTerminalState("run-2", "{\"end\":\"aborted\",\"done\":0}");
         String rejected = "422 {\"error\":\"waitsOn names a job that was never accepted, or a service\"}";
         for (String dependencies : List.of("[\"run-2\",\"run-4\"]", "[\"run-4\",\"run-2\"]")) {
             assertEquals(rejected, fixture.submit(JobApiFixture.submission("waitsOn", dependencies)));
@@ -140,63 +140,63 @@
     }
 
     @Test
-    void statusRequestsAreConfirmedTogetherWhileTheBudgetIsLow() throws SubmissionCodec.Malformed {
+    void batchesStatusRequestsWhileRequestBudgetIsLow() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
         fixture.accept(JobApiFixture.submission("uid", "\"run-2\""));
         requestStatuses("run-1", "run-2");
-        takeStoreRequests();
+        drainStoreRequests();
         fixture.loop.runTo(70_000);
-        fixture.spendBudgetUntilLow();
+        fixture.spendRequestBudgetUntilLow();
         List<String> responses = requestStatuses("run-1", "run-2", "run-1");
         assertEquals(List.of(), responses);
-        endWith("run-2", "{\"end\":\"done\",\"done\":1}");
+        recordTerminalState("run-2", "{\"end\":\"done\",\"done\":1}");
         fixture.loop.runTo(70_040);
         assertEquals(
                 List.of(PENDING, "200 {\"uid\":\"run-2\",\"status\":\"done\",\"done\":1,\"running\":0}", PENDING),
                 responses);
-        assertEquals(List.of(COMMIT, "GET /keys/job/run-2", "GET /keys/final/run-2"), takeStoreRequests());
+        assertEquals(List.of(COMMIT, "GET /keys/job/run-2", "GET /keys/final/run-2"), drainStoreRequests());
     }
 
     @Test
-    void aFullBatchOfStatusRequestsIsConfirmedAtOnce() throws SubmissionCodec.Malformed {
+    void sendsFullStatusBatchImmediately() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
         status();
-        takeStoreRequests();
-        fixture.spendBudgetUntilLow();
+        drainStoreRequests();
+        fixture.spendRequestBudgetUntilLow();
         for (int i = 1; i < fixture.store.maxConditions(); i++) {
             assertEquals("[]", status());
         }
-        assertEquals(List.of(), takeStoreRequests());
+        assertEquals(List.of(), drainStoreRequests());
         assertEquals(PENDING, status());
-        assertEquals(List.of(COMMIT), takeStoreRequests());
+        assertEquals(List.of(COMMIT), drainStoreRequests());
         fixture.loop.runTo(fixture.loop.now() + 40);
-        assertEquals(List.of(), takeStoreRequests());
+        assertEquals(List.of(), drainStoreRequests());
     }
 
     @Test
-    void aBatchThatCannotBeConfirmedIsToComeAgain() throws SubmissionCodec.Malformed {
+    void failedStatusBatchRespondsUnavailableOrTooManyRequests() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
         status();
-        fixture.spendBudgetUntilLow();
+        fixture.spendRequestBudgetUntilLow();
         List<String> responses = requestStatuses("run-1", "run-1");
         fixture.storeReachable = false;
         fixture.loop.runTo(fixture.loop.now() + 40);
-        assertEquals(List.of(NOT_NOW, NOT_NOW), responses);
-        fixture.spendBudgetUntilLow();
+        assertEquals(List.of(UNAVAILABLE, UNAVAILABLE), responses);
+        fixture.spendRequestBudgetUntilLow();
         responses = requestStatuses("run-1", "run-1");
         fixture.loop.standStill(40);
-        fixture.spendBudget();
+        fixture.spendRequestBudget();
         fixture.loop.runTo(fixture.loop.now());
         assertEquals(List.of(TOO_MANY_REQUESTS, TOO_MANY_REQUESTS), responses);
     }
 
     /** Those that were not answered lately come first. */
     @Test
-    void aJobThatWasAnsweredLatelyLeavesALowBudgetToOthers() throws SubmissionCodec.Malformed {
+    void recentlyAnsweredJobYieldsLowRequestBudget() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
         fixture.accept(JobApiFixture.submission("uid", "\"run-2\""));
         status();
-        fixture.spendBudgetUntilLow();
+        fixture.spendRequestBudgetUntilLow();
         List<String> responses = requestStatuses("run-1");
         fixture.put("job/run-1", fixture.value("job/run-1"));
         fixture.loop.runTo(fixture.loop.now() + 40);
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void aJobWithAttemptsRuns() {
+    void reportsJobWithAttemptsAsRunning() {
         fixture.put("job/run-000007", Json.read(ProductionForms.bytes("wide.json")));
         assertEquals(
                 "200 {\"uid\":\"run-000007\",\"status\":\"running\",\"done\":215,\"running\":1285}",
--- a/src/test/java/org/spoolline/election/LeaderElectionTest.java
+++ b/src/test/java/org/spoolline/election/LeaderElectionTest.java
@@ -42,18 +42,18 @@
             OperatorSettings.DEFAULTS);
 
     private static final long WATCH_MS = 1_000;
-    private static final String LEADER_KEY = "/keys/leader";
-    private static final String RENEWAL = "/leases/7/touch";
+    private static final String LEADER_KEY_PATH = "/keys/leader";
+    private static final String LEASE_RENEWAL_PATH = "/leases/7/touch";
 
     private final List<String> requestedPaths = new ArrayList<>();
     /** Answers that differ from those of an empty store. */
     private final Map<String, Http.Reply> replies = new HashMap<>();
 
-    private final List<String> changes = new ArrayList<>();
+    private final List<String> leadershipEvents = new ArrayList<>();
     /** The last transaction that was sent. */
-    private String committed = "";
+    private String lastTransaction = "";
 
-    private boolean unanswered;
+    private boolean storeUnresponsive;
     private final FakeEventLoop loop = new FakeEventLoop();
     private final LeaderElection election = new LeaderElection(
             loop,
@@ -63,17 +63,17 @@
             new LeaderElection.Listener() {
                 @Override
                 public void elected(long token, long keyVersion) {
-                    changes.add("elected " + token + " " + keyVersion);
+                    leadershipEvents.add("elected " + token + " " + keyVersion);
                 }
 
                 @Override
                 public void leaderObserved(String leader) {
-                    changes.add("observed " + leader);
+                    leadershipEvents.add("observed " + leader);
                 }
 
                 @Override
                 public void steppedDown(String reason) {
-                    changes.add("stepped down");
+                    leadershipEvents.add("stepped down");
                 }
             },
             new Counters(loop));
@@ -82,9 +82,9 @@
             String target, String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> done) {
         requestedPaths.add(path);
         if (path.equals("/commit")) {
-            committed = new String(body, StandardCharsets.UTF_8);
+            lastTransaction = new String(body, StandardCharsets.UTF_8);
         }
-        if (unanswered) {
+        if (storeUnresponsive) {
             loop.after(timeoutMs, () -> done.accept(Http.Reply.NONE));
         } else if (replies.containsKey(path)) {
             done.accept(replies.get(path));
@@ -98,7 +98,7 @@
         }
     }
 
-    private static Http.Reply leaderKey(String node, long token) {
+    private static Http.Reply leaderKeyReply(String node, long token) {
         return new Http.Reply(
                 200,
                 Json.bytes(Json.object()
@@ -106,33 +106,33 @@
                         .set("v", Json.object().put("node", node).put("token", token))));
     }
 
-    private long renewals() {
+    private long renewalCount() {
         return requestedPaths.stream().filter(path -> path.endsWith("/touch")).count();
     }
 
     /** A busy event loop runs its timers late; a renewal that is due is sent before the next request is served. */
     @Test
-    void aLateEventLoopRenewsBeforeItServesARequest() {
+    void renewsOverdueLeaseBeforeServingRequest() {
         election.start();
         loop.runTo(1_500);
         assertTrue(election.hasValidLease());
         loop.standStill(SETTINGS.renewMs() * 2);
         election.renewIfDue();
         election.renewIfDue();
-        assertEquals(1, renewals(), "one renewal, not one for each request");
+        assertEquals(1, renewalCount(), "one renewal, not one for each request");
         // The timer that was due before the stall runs now, and no renewal is due any more.
         loop.runTo(loop.now());
-        assertEquals(1, renewals());
+        assertEquals(1, renewalCount());
         loop.runTo(loop.now() + 20_000);
         assertTrue(election.hasValidLease());
-        assertTrue(renewals() >= 20_000 / SETTINGS.renewMs() - 1, "renewals " + renewals());
+        assertTrue(renewalCount() >= 20_000 / SETTINGS.renewMs() - 1, "renewals " + renewalCount());
     }
 
     @Test
-    void withoutAnswersLeadershipEndsAndKeepAliveAfterIt() {
+    void keepAliveOutlastsLeadershipWithoutStoreResponses() {
         election.start();
         loop.runTo(1_500);
-        unanswered = true;
+        storeUnresponsive = true;
         loop.runTo(loop.now() + SETTINGS.leadershipMs() + SETTINGS.renewMs());
         election.renewIfDue();
         assertFalse(election.hasValidLease());
@@ -142,12 +142,12 @@
     }
 
     @Test
-    void aLeaderWhoseLeaseHasExpiredStepsDown() {
+    void stepsDownWhenLeaseHasExpired() {
         election.start();
         loop.runTo(1_500);
-        assertEquals(List.of("elected 1 5"), changes);
-        replies.put(RENEWAL, new Http.Reply(404, new byte[0]));
-        replies.put(LEADER_KEY, leaderKey("other", 2));
+        assertEquals(List.of("elected 1 5"), leadershipEvents);
+        replies.put(LEASE_RENEWAL_PATH, new Http.Reply(404, new byte[0]));
+        replies.put(LEADER_KEY_PATH, leaderKeyReply("other", 2));
         loop.runTo(loop.now() + SETTINGS.renewMs());
         assertFalse(election.isLeader());
         assertFalse(election.mayKeepAlive());
@@ -156,14 +156,14 @@
         assertEquals(Optional.of("other"), election.knownLeader());
         assertEquals(2, election.highestKnownToken());
         assertEquals(1, election.fencingToken());
-        assertEquals(List.of("elected 1 5", "stepped down", "observed other"), changes.subList(0, 3));
-        long renewed = renewals();
+        assertEquals(List.of("elected 1 5", "stepped down", "observed other"), leadershipEvents.subList(0, 3));
+        long renewalsBefore = renewalCount();
         loop.runTo(loop.now() + SETTINGS.leadershipMs());
-        assertEquals(renewed, renewals(), "a lease that is not kept any more is not renewed");
+        assertEquals(renewalsBefore, renewalCount(), "a lease that is not kept any more is not renewed");
     }
 
     @Test
-    void aLeaderStepsDownOnlyForAHigherToken() {
+    void stepsDownOnlyForHigherToken() {
         election.start();
         loop.runTo(1_500);
         election.observeToken(1);
@@ -175,16 +175,16 @@
 
     /** A key that names this node although it does not lead is replaced at its version, without a wait for its lease. */
     @Test
-    void aNodeReplacesTheKeyOfItsOwnEarlierProcess() {
-        replies.put(LEADER_KEY, leaderKey("n", 1));
+    void replacesLeaderKeyOfOwnEarlierProcess() {
+        replies.put(LEADER_KEY_PATH, leaderKeyReply("n", 1));
         election.start();
         loop.runTo(1_500);
         assertTrue(election.hasValidLease());
-        assertTrue(committed.contains("{\"key\":\"leader\",\"stamp\":3}"), committed);
+        assertTrue(lastTransaction.contains("{\"key\":\"leader\",\"stamp\":3}"), lastTransaction);
     }
 
     @Test
-    void aNodeThatBacksOffEndsItsLeaseAndLeavesTheNextCampaignsToOthers() {
+    void endsLeaseAndDelaysNextCampaignAfterBackOff() {
         election.start();
         loop.runTo(1_500);
         election.stepDownAndBackOff("test");
@@ -197,12 +197,12 @@
     }
 
     @Test
-    void aLostCampaignIsFollowedByAnotherLookAtTheKey() {
+    void rereadsLeaderKeyAfterLostCampaign() {
         replies.put("/commit", new Http.Reply(409, Json.bytes(Json.object())));
         election.start();
         loop.runTo(1_500);
         assertFalse(election.isLeader());
-        assertEquals(List.of(), changes);
+        assertEquals(List.of(), leadershipEvents);
         replies.remove("/commit");
         loop.runTo(2_500);
         assertTrue(election.isLeader());
--- a/src/test/java/org/spoolline/peer/PeerCodecTest.java
+++ b/src/test/java/org/spoolline/peer/PeerCodecTest.java
@@ -12,17 +12,17 @@
 /** Messages between controllers, in the form that the version in production exchanges. */
 class PeerCodecTest {
     private static final byte[] BODY = "body".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] NO_CBOR = {(byte) 0xff};
+    private static final byte[] INVALID_CBOR = {(byte) 0xff};
 
     @Test
-    void aStatusIsWrittenAsInProduction() {
+    void encodesStatusAsProductionVersion() {
         assertArrayEquals(
                 ProductionForms.bytes("peer-status.cbor"),
                 PeerCodec.encode(new PeerStatus("spooler-1", 41, true, false)));
     }
 
     @Test
-    void aForwardedRequestAndItsResponseAreReadBack() {
+    void roundTripsForwardedRequestAndResponse() {
         Http.Request request = PeerCodec.decodeRequest(
                         PeerCodec.encode(new Http.Request("POST", "/jobs", "ignored=1", BODY)))
                 .orElseThrow();
@@ -38,18 +38,18 @@
     }
 
     @Test
-    void aCancellationNamesItsJob() {
+    void roundTripsCancellation() {
         assertEquals("run-000001", PeerCodec.decodeCancellation(PeerCodec.encodeCancellation("run-000001")));
     }
 
     @Test
-    void bytesThatAreNoMessageAreTold() {
-        assertTrue(PeerCodec.decodeStatus(NO_CBOR).isEmpty());
-        assertTrue(PeerCodec.decodeRequest(NO_CBOR).isEmpty());
-        assertTrue(PeerCodec.decodeResponse(NO_CBOR).isEmpty());
+    void rejectsInvalidMessages() {
+        assertTrue(PeerCodec.decodeStatus(INVALID_CBOR).isEmpty());
+        assertTrue(PeerCodec.decodeRequest(INVALID_CBOR).isEmpty());
+        assertTrue(PeerCodec.decodeResponse(INVALID_CBOR).isEmpty());
         // A status has no body, so it is not taken for a request.
         assertTrue(PeerCodec.decodeRequest(ProductionForms.bytes("peer-status.cbor"))
                 .isEmpty());
-        assertEquals("", PeerCodec.decodeCancellation(NO_CBOR));
+        assertEquals("", PeerCodec.decodeCancellation(INVALID_CBOR));
     }
 }
--- a/src/test/java/org/spoolline/simulation/StallTest.java
+++ b/src/test/java/org/spoolline/simulation/StallTest.java
@@ -113,7 +113,7 @@
 
     private static JsonNode counters(Simulation simulation, String node) {
         List<Http.Response> answers = new ArrayList<>();
-        Http.Request request = new Http.Request("GET", Controller.COUNTERS, "", new byte[0]);
+        Http.Request request = new Http.Request("GET", Controller.COUNTERS_PATH, "", new byte[0]);
         simulation.controllers.controller(node).servePeer(request, answers::add);
         assertEquals(200, answers.get(0).status());
         return Json.read(answers.get(0).body());
--- a/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
+++ b/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
@@ -27,31 +27,32 @@
     }
 
     @Test
-    void aNewJobWithoutDependenciesIsStoredAsInProduction() throws Exception {
+    void encodesNewJobWithoutDependenciesAsProductionVersion() throws Exception {
         Submission job = SubmissionCodec.parse(value("accepted.json").path("job"));
         Pipeline accepted = Pipeline.accept(job, SubmissionCodec.encode(job), 1_700_000_000_000L);
         assertEquals(value("accepted.json"), Json.read(Json.bytes(accepted.encode())));
     }
 
     @Test
-    void aWideValueIsReadWithEveryAttemptAndWrittenBackTheSame() {
+    void roundTripsWideValueWithAllAttempts() {
         Pipeline wide = Pipeline.decode(value("wide.json"));
-        Set<String> listed = new TreeSet<>();
+        Set<String> decodedAttempts = new TreeSet<>();
         for (Attempt attempt : wide.attempts()) {
-            listed.add(attempt.task() + " " + attempt.number() + " " + attempt.machine() + " " + attempt.incarnation());
+            decodedAttempts.add(
+                    attempt.task() + " " + attempt.number() + " " + attempt.machine() + " " + attempt.incarnation());
         }
         Set<String> expected =
                 new TreeSet<>(new String(ProductionForms.bytes("wide-attempts.txt"), StandardCharsets.UTF_8)
                         .lines()
                         .toList());
-        assertEquals(expected, listed);
+        assertEquals(expected, decodedAttempts);
         assertEquals(215, wide.completedTasks());
         assertTrue(wide.avoids("m-000009"));
         assertEquals(value("wide.json"), Json.read(Json.bytes(wide.encode())));
     }
 
     @Test
-    void aCancelledValueIsReadAndWrittenBackTheSame() {
+    void roundTripsCancelledValue() {
         Pipeline cancelled = Pipeline.decode(value("wide-cancelled.json"));
         assertTrue(cancelled.cancelled());
         assertEquals(1285, cancelled.attempts().size());
@@ -59,7 +60,7 @@
     }
 
     @Test
-    void terminalRecordsAndPeerStatusesAreRead() {
+    void decodesTerminalRecordsAndPeerStatus() {
         assertEquals(new TerminalRecord(true, 1800), TerminalRecord.decode(value("final-done.json")));
         assertEquals(new TerminalRecord(false, 3), TerminalRecord.decode(value("final-aborted.json")));
         assertEquals(
@@ -69,7 +70,7 @@
 
     /** Fields of a later version are ignored; they are lost when the value is written again. */
     @Test
-    void unknownFieldsOfAStoredValueAreIgnored() {
+    void ignoresUnknownFieldsOfStoredValue() {
         ObjectNode later = (ObjectNode) value("wide.json");
         later.put("later", 1);
         assertEquals(
@@ -78,7 +79,7 @@
 
     /** Production reads versions up to 2 and rejects others: a job with open dependencies must not look like one that may start. */
     @Test
-    void onlyJobsThatProductionCouldNotServeAreStoredInAFormThatItRejects() throws Exception {
+    void usesVersionUnknownToProductionOnlyForUnsatisfiedDependencies() throws Exception {
         ObjectNode body = value("accepted.json").path("job").deepCopy();
         body.putArray("waitsOn").add("run-000001").add("run-000002");
         Submission job = SubmissionCodec.parse(body);
--- a/src/test/java/org/spoolline/upgrade/RecordedProduction.java
+++ b/src/test/java/org/spoolline/upgrade/RecordedProduction.java
@@ -50,23 +50,25 @@
         }
         Path classes = Files.createDirectories(directory.resolve("classes"));
         compile(sources, classes);
-        return new OwnClassesLoader(classes.toUri().toURL());
+        return new ProductionClassLoader(classes.toUri().toURL());
     }
 
     private static void compile(List<Path> sources, Path classes) throws IOException {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        StringWriter messages = new StringWriter();
+        StringWriter compilerOutput = new StringWriter();
         try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, StandardCharsets.UTF_8)) {
             Iterable<? extends JavaFileObject> units = files.getJavaFileObjectsFromPaths(sources);
             // Without this version's own classes on the path: production must compile by itself.
-            List<String> options = List.of("-d", classes.toString(), "-proc:none", "-Xlint:none", "-cp", libraries());
-            if (!compiler.getTask(messages, files, null, options, null, units).call()) {
-                throw new IOException("production does not compile: " + messages);
+            List<String> options =
+                    List.of("-d", classes.toString(), "-proc:none", "-Xlint:none", "-cp", libraryClassPath());
+            if (!compiler.getTask(compilerOutput, files, null, options, null, units)
+                    .call()) {
+                throw new IOException("production does not compile: " + compilerOutput);
             }
         }
     }
 
-    private static String libraries() {
+    private static String libraryClassPath() {
         String separator = System.getProperty("path.separator");
         return String.join(
                 separator,
@@ -91,8 +93,8 @@
     }
 
     /** Takes spoolline's classes from its own folder, so that none of this version's passes for production's. */
-    private static final class OwnClassesLoader extends URLClassLoader {
-        OwnClassesLoader(URL classes) {
+    private static final class ProductionClassLoader extends URLClassLoader {
+        ProductionClassLoader(URL classes) {
             super(new URL[] {classes}, RecordedProduction.class.getClassLoader());
         }
 
--- a/src/test/java/org/spoolline/upgrade/RecordedProductionTest.java
+++ b/src/test/java/org/spoolline/upgrade/RecordedProductionTest.java
@@ -57,28 +57,29 @@
      * and no task was started.
      */
     @Test
-    void productionReadsTheSettingsOfTheUpgrade() throws Exception {
+    void productionParsesSettingsOfUpgrade() throws Exception {
         Object settings = call("settings.SettingsFile", "parse", String.class, UPGRADE_SETTINGS);
         assertEquals("n0", settings.getClass().getMethod("node").invoke(settings));
     }
 
     /** The data kept as what production writes is what the recorded commit reads and writes. */
     @Test
-    void productionReadsAndWritesTheValuesKeptAsItsOwn() throws Exception {
+    void productionRoundTripsRecordedValues() throws Exception {
         for (String file : List.of("accepted.json", "wide.json", "wide-cancelled.json")) {
-            JsonNode kept = Json.read(ProductionForms.bytes(file));
-            Object pipeline = call("pipeline.Pipeline", "decode", JsonNode.class, kept);
-            JsonNode written =
+            JsonNode recordedValue = Json.read(ProductionForms.bytes(file));
+            Object pipeline = call("pipeline.Pipeline", "decode", JsonNode.class, recordedValue);
+            JsonNode encodedValue =
                     (JsonNode) pipeline.getClass().getMethod("encode").invoke(pipeline);
-            assertEquals(kept, Json.read(Json.bytes(written)), file);
+            assertEquals(recordedValue, Json.read(Json.bytes(encodedValue)), file);
         }
         for (String file : List.of("final-done.json", "final-aborted.json")) {
-            JsonNode kept = Json.read(ProductionForms.bytes(file));
-            Object record = call("intake.FinalRecord", "decode", JsonNode.class, kept);
-            TerminalRecord ours = TerminalRecord.decode(kept);
-            assertEquals(ours.done(), record.getClass().getMethod("done").invoke(record), file);
+            JsonNode recordedValue = Json.read(ProductionForms.bytes(file));
+            Object record = call("intake.FinalRecord", "decode", JsonNode.class, recordedValue);
+            TerminalRecord decodedRecord = TerminalRecord.decode(recordedValue);
             assertEquals(
-                    ours.completedTasks(),
+                    decodedRecord.done(), record.getClass().getMethod("done").invoke(record), file);
+            assertEquals(
+                    decodedRecord.completedTasks(),
                     record.getClass().getMethod("doneTasks").invoke(record),
                     file);
         }
