--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -25,11 +25,11 @@
 import org.spoolline.worker.HeartbeatService;
 
 /**
- * One controller node: its parts, wired together. Clock, random source and network come from outside, and every method
- * runs on the event loop.
+ * One controller node: creates the components of the node and connects them. The event loop with its clock, the random
+ * generator and the network are passed in. All methods are called on the event loop.
  */
 public final class Controller implements LeaderElection.Listener {
-    /** Path on the internal address where operators read the node's status and counters. */
+    /** Path on the internal address at which operators read the node's status and counters. */
     public static final String COUNTERS_PATH = "/counters";
 
     private final EventLoop loop;
@@ -48,11 +48,11 @@
     private Runnable onLeaderKnown = () -> {};
 
     /**
-     * Wires a node. Nothing is called back before {@link #start}, so the parts that refer to one another may be given
-     * this node and each other while it is being built.
+     * Creates the components of a node. No component invokes a callback before {@link #start}, so components may be
+     * given references to this node and to one another before construction is complete.
      *
      * @param http   sends requests to the key-value store, the cloud, the peers and the workers
-     * @param random decides how long a candidate waits before it campaigns
+     * @param random source of the random delay before a campaign
      */
     public Controller(Settings settings, EventLoop loop, Http.Caller http, RandomGenerator random) {
         this.loop = loop;
@@ -88,7 +88,7 @@
         router = new RequestRouter(jobApi, heartbeatService, peerService, store, health, status, counters);
     }
 
-    /** Starts; {@code onLeaderKnown} runs each time this node learns who leads, itself or another. */
+    /** Starts the node; {@code onLeaderKnown} runs each time this node is elected or observes another leader. */
     public void start(Runnable onLeaderKnown) {
         this.onLeaderKnown = onLeaderKnown;
         start();
@@ -104,19 +104,19 @@
         health.probePeriodically();
     }
 
-    /** What the node has counted since its start. */
+    /** The counters of events since the node was created. */
     public Counters counters() {
         return counters;
     }
 
-    /** Serves users, workers and health checks. */
+    /** Serves a request of a user, a worker or a health check; the responder receives exactly one response. */
     public void serve(Http.Request request, Consumer<Http.Response> responder) {
-        // A loop that is busy with requests is late with its timers, and leadership must not end by that.
+        // An event loop that is busy with requests runs its timers late; the lease must not expire because of that.
         election.renewIfDue();
         router.serve(request, responder);
     }
 
-    /** Serves the other controllers, and operators who read the counters. */
+    /** Serves a request of another controller, or of an operator who reads the counters. */
     public void servePeer(Http.Request request, Consumer<Http.Response> responder) {
         router.servePeer(request, responder);
     }
@@ -141,18 +141,18 @@
         autoscaler.steppedDown();
     }
 
-    /** A user has the confirmation that the job is cancelled. The leader must end its tasks, whichever node it is. */
+    /** Marks the job as cancelled and notifies the leader, on this or another node, which must stop the job's tasks. */
     private void cancellationConfirmed(String jobId) {
         jobs.markCancelled(jobId);
         peerService.notifyLeaderOfCancellation(jobId);
     }
 
-    /** The autoscaler has changed the machines; it is built before the scheduler. */
+    /** Requests a cycle for the autoscaler, which is created before the scheduler and can't hold a reference to it. */
     private void requestCycle() {
         scheduler.requestCycle();
     }
 
-    /** Passes the results of scheduling cycles on to the workers. */
+    /** Forwards the results of scheduling cycles to the workers. */
     private final class WorkerNotifier implements CycleListener {
         @Override
         public void jobsLoaded() {
@@ -172,7 +172,7 @@
         }
     }
 
-    /** What the peers may ask of this node. */
+    /** Handles requests of peers to this node. */
     private final class PeerRequestHandler implements PeerService.LocalNode {
         @Override
         public void handle(Http.Request request, Consumer<Http.Response> responder) {
--- a/src/main/java/org/spoolline/NodeHealth.java
+++ b/src/main/java/org/spoolline/NodeHealth.java
@@ -9,8 +9,8 @@
 import org.spoolline.worker.HeartbeatService;
 
 /**
- * Compares what this node reaches with what its peers reach, to tell an outage common to all from a node that is cut off
- * alone. Used on the event loop only.
+ * Compares the connectivity of this node with that of its peers, to distinguish an outage that affects all nodes from a
+ * network failure that affects only this one. All methods are called on the event loop.
  */
 final class NodeHealth {
     private final EventLoop loop;
@@ -35,7 +35,7 @@
         this.peerService = peerService;
     }
 
-    /** Probes the key-value store now and every {@link Constants.Store#STORE_PROBE_MS} from now on. */
+    /** Probes the key-value store now and then every {@link Constants.Store#STORE_PROBE_MS}. */
     void probePeriodically() {
         store.probe();
         stepDownIfWorkersReachOnlyPeers();
@@ -43,14 +43,15 @@
     }
 
     /**
-     * False takes the node out of the load balancer. In an outage common to all nodes that would help nobody, so a node
-     * without the key-value store stays in unless a peer still reaches it.
+     * The result of the health check; false makes the load balancer remove this node. A node that cannot reach the
+     * key-value store is unhealthy only if a peer can reach it: when the outage affects all nodes, removing them all
+     * would not help any client.
      */
     boolean isHealthy() {
         return catalog.isKnown() && (store.reachable() || !peerService.anyPeerReachesStore());
     }
 
-    /** Hands leadership to a node that the workers reach when they have stopped reaching this one. */
+    /** Steps down if workers no longer reach this node but reach a peer, so that the peer can become the leader. */
     private void stepDownIfWorkersReachOnlyPeers() {
         if (election.hasValidLease()
                 && heartbeatService.workersUnreachable()
--- a/src/main/java/org/spoolline/NodeStatus.java
+++ b/src/main/java/org/spoolline/NodeStatus.java
@@ -10,8 +10,8 @@
 import org.spoolline.net.Json;
 
 /**
- * What operators read at {@link Controller#COUNTERS_PATH}: who leads as far as this node knows, whether it may decide anything
- * itself, and its counters. The field names are read by operators' scripts and stay as they are.
+ * The status that operators read at {@link Controller#COUNTERS_PATH}: the leader known to this node, whether this node
+ * may make decisions, and its counters. Operators' scripts read these fields, so their names must not change.
  */
 final class NodeStatus {
     private final String node;
@@ -39,7 +39,7 @@
         this.counters = counters;
     }
 
-    /** The status as of now; "stalled" is null unless this node leads and starts nothing although jobs wait. */
+    /** The current status. "stalled" is null unless this node is the leader and places no task although jobs wait. */
     ObjectNode toJson() {
         ObjectNode status = Json.object()
                 .put("node", node)
--- a/src/main/java/org/spoolline/RequestRouter.java
+++ b/src/main/java/org/spoolline/RequestRouter.java
@@ -10,7 +10,7 @@
 import org.spoolline.peer.PeerService;
 import org.spoolline.worker.HeartbeatService;
 
-/** Every path that a node serves, on both of its addresses. Each response is handed over exactly once, on the loop. */
+/** Routes the requests to both addresses of a node. Each responder receives exactly one response, on the event loop. */
 final class RequestRouter {
     private static final String HEARTBEAT_PATH = "/checkin";
     private static final String HEALTH_PATH = "/healthz";
@@ -63,7 +63,10 @@
         }
     }
 
-    /** Counts how users' requests end; a node that can't reach the key-value store forwards them to a peer that can. */
+    /**
+     * Serves a user's request and counts its outcome. If this node can't reach the key-value store, it forwards the
+     * request to a peer that can.
+     */
     private void serveUser(Http.Request request, Consumer<Http.Response> responder) {
         Consumer<Http.Response> countingResponder = response -> {
             counters.count(eventOf(response.status()));
--- a/src/main/java/org/spoolline/election/Campaign.java
+++ b/src/main/java/org/spoolline/election/Campaign.java
@@ -7,38 +7,38 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Campaigns of this node, one at a time: create a lease, read the token counter, then raise the counter and set the
- * leader key in one transaction.
+ * Runs the election campaigns of this node, one at a time. A campaign creates a lease, reads the token counter, and
+ * then commits one transaction that increments the counter and writes the leader key.
  *
- * <p>At most one of several candidates wins, since the transaction requires both the version of the leader key that the
- * candidate saw and that of the counter; each term's fencing token is therefore higher than all before. The leader key
- * lives on the lease, so it goes by itself when its leader does not renew.
+ * <p>The transaction requires the versions of the leader key and of the counter that the candidate has read. Of several
+ * concurrent candidates at most one wins, and each term has a higher fencing token than every earlier term. The leader
+ * key is attached to the lease, so the store deletes the key when the leader stops renewing the lease.
  */
 final class Campaign {
-    /** What became of a campaign. Exactly one method is called for each campaign that was started. */
+    /** Receives the outcome of each campaign. Exactly one method is called per campaign that was started. */
     interface Listener {
-        /** This node leads. */
+        /** The election transaction was applied: this node is the leader. */
         void won(Term term);
 
-        /** Another node changed the leader key or the counter first. */
+        /** The transaction conflicted: another node has changed the leader key or the token counter. */
         void lost();
 
         /**
-         * The election got no answer, or the store rejected it. It may have been applied: the leader key then names this
-         * node although nobody leads.
+         * The store rejected the election transaction or did not answer it. It may still have been applied: the leader
+         * key then names this node, but no node acts as the leader.
          */
         void outcomeUnknown();
 
-        /** The store did not answer what precedes the election. */
+        /** The lease could not be created or the token counter could not be read, so no transaction was sent. */
         void storeUnavailable();
     }
 
     /**
-     * A won term.
+     * A term of leadership of this node.
      *
-     * @param token the fencing token
+     * @param token the fencing token of the term
      * @param leaderKeyVersion the version of the leader key, which every write of this leader requires
-     * @param leaseId the lease that the leader key lives on
+     * @param leaseId the lease that the leader key is attached to
      * @param leaseRequestSentAt when the request that created the lease was sent, in ms of the event loop's time
      */
     record Term(long token, long leaderKeyVersion, long leaseId, long leaseRequestSentAt) {}
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Starts a campaign unless one is running.
+     * Starts a campaign unless one is in progress.
      *
-     * @param leaderKeyVersion the version of the leader key that the election replaces; 0 when the key must not exist
+     * @param leaderKeyVersion the version of the leader key that the campaign may overwrite; 0 if it must not exist
      */
     void start(long leaderKeyVersion) {
         if (inProgress) {
--- a/src/main/java/org/spoolline/election/LeaderElection.java
+++ b/src/main/java/org/spoolline/election/LeaderElection.java
@@ -12,40 +12,41 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Leader election: whether this node leads, with which fencing token, and which node leads otherwise.
+ * Leader election: tracks whether this node is the leader, its fencing token, and otherwise which node is the leader.
  *
- * <p>The desired state is that some node leads. {@link LeaderKeyObserver} watches the leader key, {@link Campaign} tries
- * to set it when no other node holds it, and {@link LeaseKeeper} renews the lease that it lives on.
+ * <p>{@link LeaderKeyObserver} watches the leader key, {@link Campaign} tries to write the key when no other node holds
+ * it, and {@link LeaseKeeper} renews the lease that the key is attached to.
  *
- * <p>Safety rests on two rules (docs/design.md, "Leadership"). A leader decides and answers only while
- * {@link #hasValidLease}, checked at the moment of each answer; in that time the store elects nobody else. And every
- * write of a leader requires {@link #leaderKeyVersion}, so a write of a former leader that arrives late is not applied.
+ * <p>Two rules ensure safety (docs/design.md, "Leadership"). First, a leader makes decisions and answers requests only
+ * while {@link #hasValidLease} is true, checked again for each answer; during that time no other node can win an
+ * election. Second, every write of a leader requires {@link #leaderKeyVersion}, so the store rejects a late write of a
+ * former leader.
  *
  * <p>All methods are called on the event loop.
  */
 public final class LeaderElection {
-    /** Key that names the leader. It lives on the leader's lease. */
+    /** Key that names the leader. It is attached to the leader's lease. */
     public static final String LEADER_KEY = "leader";
 
-    /** Key of the counter that fencing tokens are taken from. It is never removed. */
+    /** Key of the counter that generates the fencing tokens. It is never deleted, so tokens never repeat. */
     public static final String TOKEN_KEY = "token";
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
-    /** What the rest of the node does when leadership changes. */
+    /** Receives changes of leadership. */
     public interface Listener {
         /**
-         * This node leads.
+         * This node was elected leader.
          *
          * @param token the fencing token of the new term
          * @param keyVersion the version of the leader key, which every write of this term requires
          */
         void elected(long token, long keyVersion);
 
-        /** Another node is seen to lead. */
+        /** The leader key names another node as the leader. */
         void leaderObserved(String leader);
 
-        /** This node does not lead any more. */
+        /** This node is no longer the leader. */
         void steppedDown(String reason);
     }
 
@@ -60,10 +61,10 @@
     private boolean leading;
     private long fencingToken;
     private long leaderKeyVersion;
-    /** Keeper of the present or the last term's lease; null before the first election. */
+    /** Renews the lease of the current or the last term; null before this node is first elected. */
     private LeaseKeeper leaseKeeper;
 
-    /** An election that does nothing before {@link #start}. */
+    /** Creates an election, which sends no request before {@link #start}. */
     public LeaderElection(
             EventLoop loop,
             RandomGenerator random,
@@ -80,64 +81,65 @@
         this.campaign = new Campaign(loop, store, settings, new CampaignListener());
     }
 
-    /** Begins to observe the leader key, and to campaign when no other node leads. */
+    /** Starts to observe the leader key; this node campaigns whenever no other node is the leader. */
     public void start() {
         observer.readLeaderKey();
     }
 
-    /** True from an election until this node steps down, whether its lease is still valid or not. */
+    /** True from this node's election until it steps down, even if its lease has expired meanwhile. */
     public boolean isLeader() {
         return leading;
     }
 
-    /** True while this node may decide and commit. To be checked at the moment of each answer. */
+    /** True while this node may make decisions and commit them. Check it again immediately before each answer. */
     public boolean hasValidLease() {
         return leading && loop.now() < leaseKeeper.validUntil();
     }
 
     /**
-     * True while this node may keep workers' leases alive without deciding anything, if its view of the jobs allows it
-     * ({@link StalenessBound}). It outlasts {@link #hasValidLease} by the keep-alive time, so that a short outage of the
-     * store costs no work; a new leader waits that long before it takes a machine without heartbeats for lost.
+     * True while this node may renew workers' leases without making any other decision; its view of the jobs must also
+     * be recent enough ({@link StalenessBound}). This period exceeds that of {@link #hasValidLease} by the keep-alive
+     * time, so that running tasks survive a short outage of the store. A new leader therefore waits for the keep-alive
+     * time before it declares a machine without heartbeats lost.
      */
     public boolean mayKeepAlive() {
         return leading && loop.now() < leaseKeeper.validUntil() + settings.keepAliveMs();
     }
 
-    /** The fencing token of this node's present or last term; 0 before its first. */
+    /** The fencing token of this node's current or last term; 0 before its first term. */
     public long fencingToken() {
         return fencingToken;
     }
 
     /**
-     * The lowest token that workers are shown in this term. The tokens from here to the next term's are used for
-     * early-heartbeat requests: a raised token makes a single worker send a heartbeat at once.
+     * The lowest token that this leader sends to workers in its term. The tokens between this one and the lowest of the
+     * next term serve as early-heartbeat requests: a worker that receives a higher token sends a heartbeat immediately.
      */
     public long workerFencingToken() {
         return fencingToken << Constants.Heartbeat.EARLY_HEARTBEAT_TOKEN_BITS;
     }
 
-    /** The version of the leader key that this node's present or last term wrote. */
+    /** The version of the leader key that this node wrote for its current or last term. */
     public long leaderKeyVersion() {
         return leaderKeyVersion;
     }
 
-    /** The leader's node name as last seen, if one is known. */
+    /** The node name of the last observed leader; empty if no leader is known. */
     public Optional<String> knownLeader() {
         return observer.knownLeader();
     }
 
-    /** The highest fencing token that this node has seen on the leader key; 0 when it has seen none. */
+    /** The highest fencing token that this node has read from the leader key or obtained itself; 0 if none. */
     public long highestKnownToken() {
         return observer.highestKnownToken();
     }
 
-    /** A worker has seen this token, which may include early-heartbeat requests. */
+    /** Handles the token that a worker reports, in whose low bits the early-heartbeat requests are counted. */
     public void observeWorkerToken(long workerToken) {
         observeToken(workerToken >> Constants.Heartbeat.EARLY_HEARTBEAT_TOKEN_BITS);
     }
 
-    /** A peer or a worker has seen this fencing token: if it is higher, another leader was elected since. */
+    /** Handles a fencing token that a peer or a worker reports; a higher one proves that a later leader was elected. */
     public void observeToken(long token) {
         if (leading && token > fencingToken) {
             stepDown("higher token observed: " + token);
@@ -145,8 +147,8 @@
     }
 
     /**
-     * Steps down in favour of a node that serves better, and leaves the next campaigns to others for a while. The lease
-     * is ended, so that they need not wait for its expiry. Called only while this node leads.
+     * Steps down so that a node that is better able to serve can take over, and does not campaign during the back-off
+     * time. Ends the lease, so that other nodes need not wait for it to expire. Called only while this node leads.
      */
     public void stepDownAndBackOff(String reason) {
         long leaseId = leaseKeeper.leaseId();
@@ -155,7 +157,7 @@
         store.endLease(leaseId);
     }
 
-    /** Steps down, if this node leads. The leader key goes when its lease ends. */
+    /** Steps down if this node is the leader. The store deletes the leader key when its lease ends. */
     public void stepDown(String reason) {
         if (!leading) {
             return;
@@ -170,8 +172,9 @@
     }
 
     /**
-     * Renews the lease if that is due. Called before each request too: on a small share of a core the loop is busy with
-     * hundreds of workers after a start and comes to its timers so late that the lease would expire without a renewal.
+     * Renews the lease if a renewal is due. The node also calls this before it serves each request: with a small share
+     * of a core, the event loop is busy with the requests of hundreds of workers after a start, and its timers run so
+     * late that the lease would expire without a renewal.
      */
     public void renewIfDue() {
         if (leading) {
@@ -198,7 +201,7 @@
         leaseKeeper.start();
     }
 
-    /** What the leader key's observer learns. */
+    /** Connects the observer of the leader key to this election. */
     private final class ObserverCallbacks implements LeaderKeyObserver.Callbacks {
         @Override
         public boolean isLeader() {
@@ -218,7 +221,7 @@
         }
     }
 
-    /** What follows a campaign. */
+    /** Handles the outcome of this node's campaigns. */
     private final class CampaignListener implements Campaign.Listener {
         @Override
         public void won(Campaign.Term term) {
--- a/src/main/java/org/spoolline/election/LeaderKeyCodec.java
+++ b/src/main/java/org/spoolline/election/LeaderKeyCodec.java
@@ -4,7 +4,7 @@
 import org.spoolline.kvstore.VersionedValue;
 import org.spoolline.net.Json;
 
-/** Stored form of the leader key and of the counter of fencing tokens. */
+/** Encodes and decodes the values of the leader key and of the fencing token counter. */
 final class LeaderKeyCodec {
     private static final String NODE = "node";
     private static final String ADDRESS = "addr";
@@ -14,7 +14,7 @@
     private LeaderKeyCodec() {}
 
     /**
-     * What the leader key holds.
+     * The value of the leader key.
      *
      * @param node the leader's node name
      * @param address the leader's internal address
@@ -40,7 +40,7 @@
         return Json.object().put(LAST_TOKEN, token);
     }
 
-    /** The token of the last election; 0 when there was none. */
+    /** The fencing token of the last won election; 0 if no election was ever won. */
     static long decodeLastToken(VersionedValue counter) {
         return counter.exists() ? counter.value().path(LAST_TOKEN).asLong() : 0;
     }
--- a/src/main/java/org/spoolline/election/LeaderKeyObserver.java
+++ b/src/main/java/org/spoolline/election/LeaderKeyObserver.java
@@ -14,24 +14,24 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Reads and watches the leader key while this node does not lead. It knows who leads, and says when this node may
- * campaign: when the key does not exist, or names this node although it does not lead.
+ * Reads and watches the leader key while this node is not the leader. It tracks which node is the leader and permits a
+ * campaign of this node when the key does not exist, or when the key names this node although it is not the leader.
  */
 final class LeaderKeyObserver {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderKeyObserver.class);
 
-    /** What the observer asks of the election, and reports to it. */
+    /** What the observer queries from the election and reports to it. */
     interface Callbacks {
-        /** True while this node leads: the key is then not observed. */
+        /** True while this node is the leader; the observer then does not read the key. */
         boolean isLeader();
 
-        /** Another node is named by the leader key. */
+        /** The leader key names another node. */
         void leaderObserved(String leader);
 
         /**
-         * No other node is named by the leader key: this node may campaign.
+         * This node may campaign, since the leader key does not name another node.
          *
-         * @param keyVersion the version of the leader key that the campaign replaces; 0 when the key does not exist
+         * @param keyVersion the version of the leader key that the campaign may overwrite; 0 if it does not exist
          */
         void campaignPermitted(long keyVersion);
     }
@@ -55,38 +55,38 @@
         this.callbacks = callbacks;
     }
 
-    /** The leader's node name as last seen, if one is known. */
+    /** The node name of the last observed leader; empty if no leader is known. */
     Optional<String> knownLeader() {
         return Optional.ofNullable(knownLeader);
     }
 
-    /** The highest fencing token seen on the leader key, this node's own included; 0 when none was seen. */
+    /** The highest fencing token read from the leader key or obtained by this node; 0 if none. */
     long highestKnownToken() {
         return highestKnownToken;
     }
 
-    /** This node was elected. */
+    /** Records that this node was elected leader with the given fencing token. */
     void localNodeElected(long token) {
         knownLeader = settings.node();
         highestKnownToken = Math.max(highestKnownToken, token);
     }
 
-    /** This node does not lead any more: nobody is known to lead until the key is observed again. */
+    /** Clears the known leader after this node steps down; the next read of the key determines the new one. */
     void clearKnownLeader() {
         knownLeader = null;
     }
 
-    /** Leaves campaigns to other nodes for a while, so that one of them replaces this node. */
+    /** Prevents campaigns of this node for the back-off time, so that another node becomes the leader. */
     void backOff() {
         backOffUntil = loop.now() + Constants.Election.STEP_DOWN_BACKOFF_MS;
     }
 
-    /** Observes the key after a pause. */
+    /** Reads the leader key after a delay. */
     void readLeaderKeyAfter(long delayMs) {
         loop.after(delayMs, this::readLeaderKey);
     }
 
-    /** Reads the leader key, then follows the leader that it names or lets this node campaign. */
+    /** Reads the leader key, then either watches the leader that it names or permits a campaign of this node. */
     void readLeaderKey() {
         if (callbacks.isLeader()) {
             return;
@@ -118,11 +118,14 @@
     }
 
     /**
-     * True for a key that names this node, which does not lead: it was written by an earlier process, or by an election
-     * that got no answer. Nobody leads with it, so its lease need not be waited for. That is safe since the campaign
-     * replaces just the version seen: an earlier process that still lives loses its writes with that version and its
-     * workers with the higher token, and what it may yet answer is covered by the same wait as the answers of any former
-     * leader (docs/design.md, "Leadership").
+     * True for a leader key that names this node although it is not the leader, unless this node is backing off. Such
+     * a key was written by an earlier process of this node, or by an election transaction that was applied but not
+     * answered. No node leads with it, so this node overwrites the key without waiting for its lease to end.
+     *
+     * <p>This is safe even if the earlier process is still running. The campaign overwrites only the version that was
+     * read. After that the store rejects the earlier process's writes because of the new version, and workers reject
+     * its orders because of the higher fencing token. Answers that it may still send are covered by the same wait as
+     * those of any other former leader (docs/design.md, "Leadership").
      */
     private boolean mayReplace(LeaderKeyCodec.LeaderRecord leader) {
         return leader.node().equals(settings.node()) && !isBackingOff();
@@ -141,7 +144,7 @@
         }
     }
 
-    /** A random pause, so that not all nodes campaign at once. */
+    /** A random delay, in ms, so that not all nodes campaign at the same time. */
     private long jitterMs() {
         return random.nextLong(Constants.Election.CAMPAIGN_JITTER_MS);
     }
@@ -150,7 +153,7 @@
         if (!leader.node().equals(knownLeader)) {
             LOG.info("Observed leader: leader={} token={}", leader.node(), leader.token());
         }
-        // This node's own key, left to the end of its lease after stepping down: nobody leads meanwhile.
+        // After this node has stepped down, its own key may exist until its lease ends. No node is the leader then.
         knownLeader = leader.node().equals(settings.node()) ? null : leader.node();
         highestKnownToken = Math.max(highestKnownToken, leader.token());
         if (knownLeader != null) {
--- a/src/main/java/org/spoolline/election/LeaseKeeper.java
+++ b/src/main/java/org/spoolline/election/LeaseKeeper.java
@@ -7,12 +7,13 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Keeps the lease of one term alive, and knows until when it proves the leadership.
+ * Renews the lease of one term and computes until when the lease proves this node's leadership.
  *
- * <p>The store counts a lease's time from when it carries out a creation or renewal, which is after that was sent. So
- * until {@link Settings#leadershipEndsAt} of the time at which the last answered request was <em>sent</em>, with drift of
- * the clocks and a margin taken off, the store has the leader key and elects nobody else. A late answer or a late loop
- * shortens the time in which this node acts as leader and never lengthens it (docs/design.md, "Leadership").
+ * <p>The store starts the lease's time when it processes a creation or a renewal, so after this node has sent it. This
+ * node counts from the time at which it <em>sent</em> the last successful request, and
+ * {@link Settings#leadershipEndsAt} subtracts clock drift and a margin. Until then the leader key exists in the store
+ * and no other node can be elected. A late response or a delayed event loop can only shorten the time in which this
+ * node acts as the leader, never extend it (docs/design.md, "Leadership").
  */
 final class LeaseKeeper {
     private final EventLoop loop;
@@ -27,10 +28,10 @@
     private boolean stopped;
 
     /**
-     * A keeper that does not renew yet.
+     * Creates a keeper, which renews nothing before {@link #start}.
      *
      * @param sentAt when the request that created the lease was sent, in ms of the event loop's time
-     * @param onExpired runs when the store answers that the lease does not exist any more
+     * @param onExpired runs when the store responds that the lease no longer exists
      */
     LeaseKeeper(
             EventLoop loop,
@@ -47,27 +48,27 @@
         this.validUntil = settings.leadershipEndsAt(sentAt);
     }
 
-    /** The lease that is kept. */
+    /** The ID of the lease in the key-value store. */
     long leaseId() {
         return leaseId;
     }
 
-    /** The event loop's time, in ms, until which the lease proves that no other node was elected. */
+    /** The event loop's time, in ms, until which the lease guarantees that no other node is elected. */
     long validUntil() {
         return validUntil;
     }
 
-    /** Begins to renew at the usual interval. */
+    /** Starts to renew the lease every {@link Settings#renewMs}. */
     void start() {
         renewAfter(settings.renewMs());
     }
 
-    /** Ends the renewals; the lease itself lives on until its time is over or it is ended. */
+    /** Stops the renewals. The lease itself remains until it expires or is explicitly ended. */
     void stop() {
         stopped = true;
     }
 
-    /** Renews the lease if that is due and no renewal is under way. */
+    /** Renews the lease if a renewal is due and none is in flight. */
     void renewIfDue() {
         if (!stopped && !renewalInFlight && loop.now() >= nextRenewalAt) {
             renew();
@@ -97,7 +98,7 @@
                 renewAfter(settings.renewMs());
             }
             case EXPIRED -> onExpired.run();
-                // Proves nothing: the lease may outlive an outage, and this node then still leads.
+                // The lease may still exist after an outage of the store, so this node does not step down.
             case NO_ANSWER -> renewAfter(Constants.Time.RETRY_MS);
         }
     }
--- a/src/main/java/org/spoolline/package-info.java
+++ b/src/main/java/org/spoolline/package-info.java
@@ -1,2 +1,2 @@
-/** One controller node: its parts, wired together. */
+/** One controller node: creates and connects its components, and routes requests to them. */
 package org.spoolline;
--- a/src/main/java/org/spoolline/peer/Cbor.java
+++ b/src/main/java/org/spoolline/peer/Cbor.java
@@ -9,7 +9,7 @@
 import java.io.UncheckedIOException;
 import org.spoolline.codec.TreeCodec;
 
-/** CBOR trees, the form of all messages between controllers. */
+/** Reads and writes CBOR trees, the encoding of all messages between controllers. */
 final class Cbor {
     private static final TreeCodec CODEC = new TreeCodec(new CBORFactory());
 
@@ -20,7 +20,7 @@
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** The tree that the bytes hold; a missing node when they are not CBOR. */
+    /** Decodes the bytes; returns a missing node if they are not valid CBOR. */
     static JsonNode read(byte[] bytes) {
         try {
             return CODEC.read(bytes);
@@ -29,12 +29,12 @@
         }
     }
 
-    /** Encodes the tree. */
+    /** Encodes a tree as CBOR. */
     static byte[] bytes(JsonNode tree) {
         try {
             return CODEC.write(tree);
         } catch (IOException e) {
-            // The bytes are written to memory, so only a tree with a node type that CBOR lacks gets here.
+            // Writing to memory cannot fail, so the tree contains a node type that CBOR does not support.
             throw new UncheckedIOException(e);
         }
     }
--- a/src/main/java/org/spoolline/peer/PeerCodec.java
+++ b/src/main/java/org/spoolline/peer/PeerCodec.java
@@ -6,8 +6,8 @@
 import org.spoolline.net.Http;
 
 /**
- * Messages between controllers, in CBOR. Controllers of the version before send and read the same fields during a
- * rolling upgrade.
+ * Encodes and decodes the messages between controllers, in CBOR. The field names must not change: during a rolling
+ * upgrade, controllers of the previous version send and read the same fields.
  */
 public final class PeerCodec {
     private static final String NODE = "node";
@@ -31,7 +31,7 @@
                 .put(RECEIVES_HEARTBEATS, status.receivesHeartbeats()));
     }
 
-    /** The status; empty when the bytes hold no CBOR map. */
+    /** Decodes a peer's status; empty if the bytes are not a CBOR map. */
     public static Optional<PeerStatus> decodeStatus(byte[] bytes) {
         JsonNode status = Cbor.read(bytes);
         if (!status.isObject()) {
@@ -44,7 +44,7 @@
                 status.path(RECEIVES_HEARTBEATS).asBoolean()));
     }
 
-    /** Encodes a user's request that another controller is to serve. */
+    /** Encodes a user's request that is forwarded to another controller; the query is left out. */
     static byte[] encode(Http.Request request) {
         return Cbor.bytes(Cbor.object()
                 .put(METHOD, request.method())
@@ -52,7 +52,7 @@
                 .put(BODY, request.body()));
     }
 
-    /** The forwarded request, without its query; empty when the bytes hold no request. */
+    /** Decodes a forwarded request, whose query is always empty; empty if the bytes are not a request. */
     static Optional<Http.Request> decodeRequest(byte[] bytes) {
         JsonNode request = Cbor.read(bytes);
         if (!(request.path(BODY) instanceof BinaryNode body)) {
@@ -70,7 +70,7 @@
                 .put(RETRY_AFTER_S, response.retryAfterS()));
     }
 
-    /** The response to a forwarded request; empty when the bytes hold none. */
+    /** Decodes the response to a forwarded request; empty if the bytes are not a response. */
     static Optional<Http.Response> decodeResponse(byte[] bytes) {
         JsonNode response = Cbor.read(bytes);
         if (!(response.path(BODY) instanceof BinaryNode body)) {
@@ -87,7 +87,7 @@
         return Cbor.bytes(Cbor.object().put(CANCELLED_JOB_ID, jobId));
     }
 
-    /** The cancelled job's id; empty text, which is no job's id, when the bytes hold none. */
+    /** Decodes the cancelled job's id; an empty string, which is not a valid job id, if the bytes contain none. */
     static String decodeCancellation(byte[] bytes) {
         return Cbor.read(bytes).path(CANCELLED_JOB_ID).asText();
     }
--- a/src/main/java/org/spoolline/peer/PeerService.java
+++ b/src/main/java/org/spoolline/peer/PeerService.java
@@ -12,9 +12,9 @@
 import org.spoolline.net.Http;
 
 /**
- * Exchanges messages with the other controllers, so that this node can tell an outage of the key-value store from being
- * cut off alone, learns of higher fencing tokens, and can forward users' requests while it alone does not reach the
- * store. The peer that commits a forwarded request is the one that answers it.
+ * Exchanges messages with the other controllers. From their statuses this node can distinguish an outage of the
+ * key-value store from a network failure that affects only itself, and learns of higher fencing tokens. While only this
+ * node cannot reach the store, it forwards users' requests to a peer, which commits and answers them.
  *
  * <p>All methods are called on the event loop.
  */
@@ -27,12 +27,12 @@
     private static final Http.Response BAD_REQUEST = Http.Response.of(400, NO_BODY);
     private static final Http.Response NOT_FOUND = Http.Response.of(404, NO_BODY);
     private static final Http.Response UNAVAILABLE = new Http.Response(503, NO_BODY, Constants.Api.RETRY_AFTER_S);
-    /** Ms after which a status says nothing about the peer any more: two exchanges were missed. */
+    /** Age in ms at which a peer's status is stale: two exchanges in a row have failed by then. */
     private static final long STATUS_VALID_MS = 2 * Constants.Peer.PEER_PING_MS + Constants.Peer.PEER_TIMEOUT_MS;
 
-    /** What peers may ask of this node. */
+    /** The functions of this node that peers call. */
     public interface LocalNode {
-        /** Serves a user's request that a peer has forwarded. */
+        /** Serves a user's request that a peer has forwarded; the responder receives exactly one response. */
         void handle(Http.Request request, Consumer<Http.Response> responder);
 
         /** True when workers send heartbeats to this node. */
@@ -42,7 +42,7 @@
         void jobCancelled(String jobId);
     }
 
-    /** A peer's last status, with when it came, in ms of the event loop's time. */
+    /** The last status of a peer, and when it was received, in ms of the event loop's time. */
     private record ReceivedStatus(PeerStatus status, long receivedAt) {}
 
     private final EventLoop loop;
@@ -53,7 +53,7 @@
     private final LocalNode localNode;
     private final Map<String, ReceivedStatus> statusByNode = new HashMap<>();
 
-    /** A service that sends nothing before {@link #start}. */
+    /** Creates a service, which sends no message before {@link #start}. */
     public PeerService(
             EventLoop loop,
             Http.Caller http,
@@ -69,7 +69,7 @@
         this.localNode = localNode;
     }
 
-    /** Begins to exchange statuses with each peer. */
+    /** Starts the periodic exchange of statuses with each peer. */
     public void start() {
         for (Settings.Peer peer : settings.peers()) {
             exchangeStatus(peer);
@@ -85,7 +85,7 @@
         });
     }
 
-    /** Serves a peer's request to the internal address. */
+    /** Serves a peer's request to the internal address; the responder receives exactly one response. */
     public void handle(Http.Request request, Consumer<Http.Response> responder) {
         switch (request.path()) {
             case STATUS_PATH -> {
@@ -112,9 +112,9 @@
     }
 
     /**
-     * Notifies the leader of a cancellation that was committed and is now confirmed here. The leader learns of it through
-     * its watch as well, unless the key-value store refuses the leader alone; without the notification the tasks would
-     * then run until their leases expire.
+     * Notifies the leader of a cancellation that is committed and that this node confirms to the user. The leader also
+     * observes the cancellation through its watch on the jobs, unless the key-value store rejects only the leader's
+     * requests. Without the notification, the tasks would then run until their workers' leases expire.
      */
     public void notifyLeaderOfCancellation(String cancelledJobId) {
         String leader = election.knownLeader().orElse("");
@@ -128,7 +128,7 @@
     /**
      * Forwards a user's request to a peer that reaches the key-value store.
      *
-     * @return false when no peer is known to reach it; {@code responder} is then not called
+     * @return false if no peer is known to reach the store; {@code responder} is then not called
      */
     public boolean forward(Http.Request request, Consumer<Http.Response> responder) {
         for (Settings.Peer peer : settings.peers()) {
@@ -149,14 +149,14 @@
         return reply.ok() ? PeerCodec.decodeResponse(reply.body()).orElse(UNAVAILABLE) : UNAVAILABLE;
     }
 
-    /** True when a peer that reaches the key-value store has lately said that workers send heartbeats to it. */
+    /** True if a current status of a peer says that it reaches the key-value store and receives heartbeats. */
     public boolean anyPeerReceivesHeartbeats() {
         return statusByNode.values().stream()
                 .anyMatch(
                         received -> reachesStore(received) && received.status().receivesHeartbeats());
     }
 
-    /** True when a peer has lately said that it reaches the key-value store. */
+    /** True if a current status of a peer says that it reaches the key-value store. */
     public boolean anyPeerReachesStore() {
         return statusByNode.values().stream().anyMatch(this::reachesStore);
     }
--- a/src/main/java/org/spoolline/peer/PeerStatus.java
+++ b/src/main/java/org/spoolline/peer/PeerStatus.java
@@ -1,10 +1,10 @@
 package org.spoolline.peer;
 
 /**
- * What controllers tell one another every few seconds.
+ * The status that each controller sends to its peers every few seconds.
  *
  * @param node the sender's node name
- * @param token the highest fencing token that the sender has seen
+ * @param token the highest fencing token that the sender knows of
  * @param reachesStore true when the sender reaches the key-value store
  * @param receivesHeartbeats true when workers send heartbeats to the sender
  */
--- a/src/main/java/org/spoolline/peer/package-info.java
+++ b/src/main/java/org/spoolline/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between controllers, in CBOR: status, forwarded requests, confirmed cancellations. */
+/** Messages between controllers, in CBOR: statuses, forwarded requests and confirmed cancellations. */
 package org.spoolline.peer;
--- a/src/main/java/org/spoolline/upgrade/VersionRegistry.java
+++ b/src/main/java/org/spoolline/upgrade/VersionRegistry.java
@@ -14,17 +14,17 @@
 import org.spoolline.net.Json;
 
 /**
- * Registry of the controllers that run this version or a later one. It tells when values may be written that earlier
- * versions can't read.
+ * Tracks which controllers run this version or a later one, and so determines when this node may write values that
+ * earlier versions can't read.
  *
- * <p>Each controller records itself once in the key-value store, and its record is never removed: an upgraded controller
- * never goes back to an earlier version. Once every configured controller is recorded, no earlier version can run any
- * more, whatever fails; until then only what earlier versions read may be written.
+ * <p>Each controller adds one record of itself to the key-value store. The record is never removed, since an upgraded
+ * controller is never downgraded. Once every configured controller has a record, no controller can run an earlier
+ * version again, even after failures. Until then only values that earlier versions can read may be written.
  */
 public final class VersionRegistry {
-    /** Prefix of the controllers' records; the node name follows. */
+    /** Prefix of the keys of the controllers' records, followed by the node name. */
     private static final String KEY_PREFIX = "version/";
-    /** Field of a record: the highest version of stored pipelines that the controller reads. */
+    /** Field of a record: the highest version of stored pipelines that the controller can read. */
     private static final String PIPELINE_VERSION = "pipeline";
 
     private static final Logger LOG = LoggerFactory.getLogger(VersionRegistry.class);
@@ -32,7 +32,7 @@
     /** Whether all controllers run this version or a later one. */
     public enum UpgradeStatus {
         ALL_UPGRADED,
-        /** At least one controller is not recorded yet. */
+        /** At least one controller has no record yet, so it may run an earlier version. */
         NOT_ALL_RECORDED,
         /** The key-value store did not answer. */
         UNKNOWN
@@ -41,17 +41,17 @@
     private final EventLoop loop;
     private final KeyValueStoreClient store;
     private final Settings settings;
-    /** Never false again once it is true, since records are never removed. */
+    /** Cached result: once true it stays true, since records are never removed. */
     private boolean allUpgraded;
 
-    /** A registry that records nothing before {@link #recordThisController}. */
+    /** Creates a registry, which sends no request before one of its methods is called. */
     public VersionRegistry(EventLoop loop, KeyValueStoreClient store, Settings settings) {
         this.loop = loop;
         this.store = store;
         this.settings = settings;
     }
 
-    /** Records this controller, unless an earlier process of it has done so; repeated until the store has answered. */
+    /** Adds this node's record unless an earlier process has added it; retries until the store has processed this. */
     public void recordThisController() {
         String key = KEY_PREFIX + settings.node();
         store.acquireWithDebt(1);
@@ -66,7 +66,10 @@
         });
     }
 
-    /** Answers at once when all are known to be upgraded, otherwise from the key-value store. */
+    /**
+     * Reports whether all controllers are upgraded: immediately if that is already known, otherwise after reading the
+     * records in the key-value store.
+     */
     public void checkUpgradeStatus(Consumer<UpgradeStatus> onStatus) {
         if (allUpgraded) {
             onStatus.accept(UpgradeStatus.ALL_UPGRADED);
--- a/src/test/java/org/spoolline/election/LeaderElectionTest.java
+++ b/src/test/java/org/spoolline/election/LeaderElectionTest.java
@@ -22,7 +22,7 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** One node's leadership with an event loop that may be late and a key-value store that may not answer. */
+/** Leadership of one node when its event loop runs late or the key-value store does not respond. */
 class LeaderElectionTest {
     private static final Settings SETTINGS = new Settings(
             "n",
@@ -46,11 +46,11 @@
     private static final String LEASE_RENEWAL_PATH = "/leases/7/touch";
 
     private final List<String> requestedPaths = new ArrayList<>();
-    /** Answers that differ from those of an empty store. */
+    /** Replies by path that override those of an empty store. */
     private final Map<String, Http.Reply> replies = new HashMap<>();
 
     private final List<String> leadershipEvents = new ArrayList<>();
-    /** The last transaction that was sent. */
+    /** Body of the last transaction that was sent. */
     private String lastTransaction = "";
 
     private boolean storeUnresponsive;
@@ -110,7 +110,10 @@
         return requestedPaths.stream().filter(path -> path.endsWith("/touch")).count();
     }
 
-    /** A busy event loop runs its timers late; a renewal that is due is sent before the next request is served. */
+    /**
+     * A busy event loop runs its timers late, so the leadership lease could expire without a renewal. The overdue
+     * renewal must be sent before the next request is served.
+     */
     @Test
     void renewsOverdueLeaseBeforeServingRequest() {
         election.start();
@@ -120,7 +123,7 @@
         election.renewIfDue();
         election.renewIfDue();
         assertEquals(1, renewalCount(), "one renewal, not one for each request");
-        // The timer that was due before the stall runs now, and no renewal is due any more.
+        // The timer that became due during the stall runs now and must not send a second renewal.
         loop.runTo(loop.now());
         assertEquals(1, renewalCount());
         loop.runTo(loop.now() + 20_000);
@@ -159,7 +162,7 @@
         assertEquals(List.of("elected 1 5", "stepped down", "observed other"), leadershipEvents.subList(0, 3));
         long renewalsBefore = renewalCount();
         loop.runTo(loop.now() + SETTINGS.leadershipMs());
-        assertEquals(renewalsBefore, renewalCount(), "a lease that is not kept any more is not renewed");
+        assertEquals(renewalsBefore, renewalCount(), "the lease of the former term is not renewed");
     }
 
     @Test
@@ -173,7 +176,10 @@
         assertFalse(election.isLeader());
     }
 
-    /** A key that names this node although it does not lead is replaced at its version, without a wait for its lease. */
+    /**
+     * After a restart the leader key still names this node. The node must overwrite the key at the version that it has
+     * read, instead of waiting for the lease of its earlier process to expire.
+     */
     @Test
     void replacesLeaderKeyOfOwnEarlierProcess() {
         replies.put(LEADER_KEY_PATH, leaderKeyReply("n", 1));
--- a/src/test/java/org/spoolline/peer/PeerCodecTest.java
+++ b/src/test/java/org/spoolline/peer/PeerCodecTest.java
@@ -9,7 +9,7 @@
 import org.spoolline.net.Http;
 import org.spoolline.upgrade.ProductionForms;
 
-/** Messages between controllers, in the form that the version in production exchanges. */
+/** Encoding of the messages between controllers, compared with that of the version in production. */
 class PeerCodecTest {
     private static final byte[] BODY = "body".getBytes(StandardCharsets.UTF_8);
     private static final byte[] INVALID_CBOR = {(byte) 0xff};
@@ -47,7 +47,7 @@
         assertTrue(PeerCodec.decodeStatus(INVALID_CBOR).isEmpty());
         assertTrue(PeerCodec.decodeRequest(INVALID_CBOR).isEmpty());
         assertTrue(PeerCodec.decodeResponse(INVALID_CBOR).isEmpty());
-        // A status has no body, so it is not taken for a request.
+        // A status has no body, so it must not be decoded as a request.
         assertTrue(PeerCodec.decodeRequest(ProductionForms.bytes("peer-status.cbor"))
                 .isEmpty());
         assertEquals("", PeerCodec.decodeCancellation(INVALID_CBOR));
--- a/src/test/java/org/spoolline/upgrade/ProductionForms.java
+++ b/src/test/java/org/spoolline/upgrade/ProductionForms.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** What the version in production wrote, see the README beside the files. */
+/** Reads the test resources with values and messages that the production version wrote; see their README. */
 public final class ProductionForms {
     private ProductionForms() {}
 
-    /** The content of one file. */
+    /** The content of the named file. */
     public static byte[] bytes(String name) {
         try (InputStream in = ProductionForms.class.getResourceAsStream("/production/" + name)) {
             return in.readAllBytes();
--- a/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
+++ b/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
@@ -20,7 +20,10 @@
 import org.spoolline.pipeline.Submission;
 import org.spoolline.pipeline.SubmissionCodec;
 
-/** What the version in production wrote is read, and what it may have to read is written as it did. */
+/**
+ * Compatibility with the production version during a rolling upgrade: this version must read the values that production
+ * wrote, and must write the values that production may read in the same form.
+ */
 class ProductionFormsTest {
     private static JsonNode value(String name) {
         return Json.read(ProductionForms.bytes(name));
@@ -68,7 +71,7 @@
                 PeerCodec.decodeStatus(ProductionForms.bytes("peer-status.cbor")));
     }
 
-    /** Fields of a later version are ignored; they are lost when the value is written again. */
+    /** Fields that a later version has added are ignored, and are lost when this version rewrites the value. */
     @Test
     void ignoresUnknownFieldsOfStoredValue() {
         ObjectNode later = (ObjectNode) value("wide.json");
@@ -77,7 +80,10 @@
                 value("wide.json"), Json.read(Json.bytes(Pipeline.decode(later).encode())));
     }
 
-    /** Production reads versions up to 2 and rejects others: a job with open dependencies must not look like one that may start. */
+    /**
+     * Production does not support dependencies and rejects values of a version above 2. A job with unsatisfied
+     * dependencies is therefore stored as version 3; as version 2, production would launch its tasks too early.
+     */
     @Test
     void usesVersionUnknownToProductionOnlyForUnsatisfiedDependencies() throws Exception {
         ObjectNode body = value("accepted.json").path("job").deepCopy();
--- a/src/test/java/org/spoolline/upgrade/RecordedProduction.java
+++ b/src/test/java/org/spoolline/upgrade/RecordedProduction.java
@@ -19,8 +19,8 @@
 import org.spoolline.codec.TreeCodec;
 
 /**
- * The code of the version that deploy/service.toml records as production, taken from the repository's history and
- * compiled for a test.
+ * Compiles and loads the version that deploy/service.toml records as production, from the sources in the repository's
+ * history.
  */
 final class RecordedProduction {
     private static final Path DEPLOY_FILE = Path.of("deploy/service.toml");
@@ -28,15 +28,15 @@
 
     private RecordedProduction() {}
 
-    /** The commit recorded as production. */
+    /** The hash of the commit that is recorded as production. */
     static String commit() throws IOException {
         JsonNode deploy = new TreeCodec(new TomlFactory()).read(Files.readString(DEPLOY_FILE));
         return deploy.path("production").asText();
     }
 
     /**
-     * Compiles the recorded commit into {@code directory}. The loader that is returned takes spoolline's classes from
-     * there alone, and all others from the test's class path.
+     * Compiles the recorded commit into {@code directory}. The returned class loader loads spoolline's classes only
+     * from there, and all other classes from the class path of the test.
      */
     static URLClassLoader load(Path directory) throws IOException, InterruptedException {
         String commit = commit();
@@ -58,7 +58,7 @@
         StringWriter compilerOutput = new StringWriter();
         try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, StandardCharsets.UTF_8)) {
             Iterable<? extends JavaFileObject> units = files.getJavaFileObjectsFromPaths(sources);
-            // Without this version's own classes on the path: production must compile by itself.
+            // This version's classes are not on the class path, so that production compiles only against its own.
             List<String> options =
                     List.of("-d", classes.toString(), "-proc:none", "-Xlint:none", "-cp", libraryClassPath());
             if (!compiler.getTask(compilerOutput, files, null, options, null, units)
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Takes spoolline's classes from its own folder, so that none of this version's passes for production's. */
+    /** Loads spoolline's classes only from production's directory, so that no class of this version is used instead. */
     private static final class ProductionClassLoader extends URLClassLoader {
         ProductionClassLoader(URL classes) {
             super(new URL[] {classes}, RecordedProduction.class.getClassLoader());
--- a/src/test/java/org/spoolline/upgrade/RecordedProductionTest.java
+++ b/src/test/java/org/spoolline/upgrade/RecordedProductionTest.java
@@ -15,9 +15,9 @@
 import org.spoolline.job.TerminalRecord;
 import org.spoolline.net.Json;
 
-/** The version that a rolling upgrade begins with, run from the repository's history. */
+/** Runs the production version, from which a rolling upgrade starts, on the new settings and the recorded values. */
 class RecordedProductionTest {
-    /** Settings as the deployments with dependent jobs have them, with objectives on users' deadlines and new limits. */
+    /** Settings of a deployment with dependent jobs, deadline objectives and announced limits of the store. */
     private static final String UPGRADE_SETTINGS = SampleSettings.NODE
             + """
               [[cluster.objectives]]
@@ -53,8 +53,8 @@
     }
 
     /**
-     * The settings of both versions are those of the upgrade. Production refused them, so none of its processes served
-     * and no task was started.
+     * During a rolling upgrade both versions run with the new settings file. If production rejects that file, none of
+     * its processes starts to serve and no task is launched.
      */
     @Test
     void productionParsesSettingsOfUpgrade() throws Exception {
@@ -62,7 +62,7 @@
         assertEquals("n0", settings.getClass().getMethod("node").invoke(settings));
     }
 
-    /** The data kept as what production writes is what the recorded commit reads and writes. */
+    /** The recorded test resources must match what the recorded commit really reads and writes. */
     @Test
     void productionRoundTripsRecordedValues() throws Exception {
         for (String file : List.of("accepted.json", "wide.json", "wide-cancelled.json")) {
@@ -85,13 +85,13 @@
         }
     }
 
-    /** Calls a static method of production's; what it refuses fails the test. */
+    /** Calls a static method of a production class; an exception of that method fails the test. */
     private static <T> Object call(String className, String method, Class<T> type, T argument) throws Exception {
         Class<?> target = production.loadClass("org.spoolline." + className);
         try {
             return target.getMethod(method, type).invoke(null, argument);
         } catch (InvocationTargetException e) {
-            throw new AssertionError("production refuses: " + e.getCause(), e.getCause());
+            throw new AssertionError("production throws: " + e.getCause(), e.getCause());
         }
     }
 }
