--- a/src/main/java/org/spoolline/api/AncestorVerdict.java
+++ b/src/main/java/org/spoolline/api/AncestorVerdict.java
@@ -1,25 +1,25 @@
 package org.spoolline.api;
 
 /**
- * What is known of all ancestors of a job: its dependencies, their dependencies and so on. The constants are in the order
- * of precedence, the weakest first, and {@link #combine} relies on that order.
+ * Result of checking all ancestors of a job: its dependencies, their dependencies and so on. The constants are declared
+ * in ascending order of precedence, and {@link #combine} depends on that order.
  */
 enum AncestorVerdict {
     /** No ancestor was cancelled when it was read. */
     NONE_CANCELLED,
-    /** An ancestor is cancelled, so the job is to be cancelled with it. */
+    /** At least one ancestor is cancelled, so the job must be cancelled too. */
     CANCELLED,
-    /** An ancestor could not be read since this node's share of the store's rate limit is used up for now. */
+    /** An ancestor could not be read because this node's share of the store's rate limit is exhausted. */
     RATE_LIMITED,
-    /** An ancestor could not be read since the store gave no answer. */
+    /** An ancestor could not be read because the store did not answer. */
     STORE_UNREACHABLE,
     /** A dependency was never accepted, or a direct one is a service, which runs until it is cancelled. */
     UNSATISFIABLE;
 
     /**
-     * The verdict on two sets of ancestors together. That a job can never run holds whatever the others are. A failed read
-     * comes before a cancellation: the ancestor that was not read may yet be one that makes the job unsatisfiable, which
-     * would have to be rejected.
+     * Returns the verdict of higher precedence. An unsatisfiable dependency has the highest one, since the job can then
+     * never run, regardless of the other ancestors. A failed read takes precedence over a cancellation: the ancestor
+     * that could not be read may make the job unsatisfiable, and the job would then have to be rejected.
      */
     AncestorVerdict combine(AncestorVerdict other) {
         return compareTo(other) >= 0 ? this : other;
--- a/src/main/java/org/spoolline/api/AncestorWalk.java
+++ b/src/main/java/org/spoolline/api/AncestorWalk.java
@@ -13,8 +13,8 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * One walk through all ancestors of a job, each of which is visited once. Reads are sent side by side. The walk is a loop
- * over a queue instead of a recursion, so that a long chain of dependencies takes no deep stack.
+ * Traverses all ancestors of a job and visits each of them once. Reads of several ancestors are sent concurrently. The
+ * traversal is a loop over a queue, since recursion could overflow the stack on a long chain of dependencies.
  */
 final class AncestorWalk {
     private final EventLoop loop;
@@ -28,7 +28,7 @@
     private boolean visiting;
     private AncestorVerdict verdict = AncestorVerdict.NONE_CANCELLED;
 
-    /** Prepares a walk; {@code onVerdict} runs once, when no ancestor is left to visit and no read is in flight. */
+    /** Prepares a walk; {@code onVerdict} is called once, when no visit is pending and no read is in flight. */
     AncestorWalk(
             EventLoop loop,
             JobReader reader,
@@ -43,10 +43,10 @@
         pendingVisits.addAll(directDependencies);
     }
 
-    /** Visits what is left to visit. To be called once from outside; later calls come from the walk's own reads. */
+    /** Visits all pending ancestors. The owner calls this once; later calls come from the callbacks of the reads. */
     void visitPending() {
         if (visiting) {
-            // A read has failed before the call that sent it returned: the loop below is still running and goes on.
+            // A read that visit() sent has failed before visit() returned; the loop below is still running.
             return;
         }
         visiting = true;
--- a/src/main/java/org/spoolline/api/CancellationHandler.java
+++ b/src/main/java/org/spoolline/api/CancellationHandler.java
@@ -15,7 +15,7 @@
 import org.spoolline.net.Json;
 import org.spoolline.pipeline.Pipeline;
 
-/** Cancels jobs by a compare-and-swap of their live value, and confirms a cancellation only once it is committed. */
+/** Cancels jobs by a compare-and-swap of their live value and confirms a cancellation only after it is committed. */
 final class CancellationHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
 
@@ -23,7 +23,7 @@
     private final JobReader reader;
     private final Consumer<String> onCancelled;
 
-    /** {@code onCancelled} gets the id of the job before each response that confirms a cancellation. */
+    /** {@code onCancelled} receives the job id before each response that confirms a cancellation. */
     CancellationHandler(KeyValueStoreClient store, JobReader reader, Consumer<String> onCancelled) {
         this.store = store;
         this.reader = reader;
@@ -31,8 +31,9 @@
     }
 
     /**
-     * Cancels a job, and responds with its status. A job in a terminal state stays as it is, a cancelled one is confirmed
-     * again. After {@link Constants.Api#CANCEL_TRIES} concurrent changes the client is to come again.
+     * Cancels a job and responds with its status. A job in a terminal state is not changed. If the job is already
+     * cancelled, the cancellation is confirmed again. After {@link Constants.Api#CANCEL_TRIES} commits that failed
+     * because of concurrent changes, the response asks the client to retry.
      */
     void cancel(String jobId, Consumer<Http.Response> responder) {
         cancel(jobId, Constants.Api.CANCEL_TRIES, responder);
@@ -80,7 +81,7 @@
         });
     }
 
-    /** The value of the job once it is cancelled, in a form that the limits in force allow. */
+    /** Cancels and encodes the job, without its list of attempts if the value would exceed the limits in force. */
     private ObjectNode cancelledValue(Pipeline pipeline) {
         pipeline.cancel();
         ObjectNode value = pipeline.encode();
@@ -91,7 +92,7 @@
         return value;
     }
 
-    /** True after a concurrent change, and after a commit that showed that lower announced limits are in force. */
+    /** True after a concurrent change, and after a rejection for size, which puts the announced limits in force. */
     private static boolean isRetryable(CommitOutcome outcome) {
         return outcome == CommitOutcome.CONFLICT || outcome == CommitOutcome.TOO_LARGE;
     }
--- a/src/main/java/org/spoolline/api/JobApi.java
+++ b/src/main/java/org/spoolline/api/JobApi.java
@@ -11,9 +11,9 @@
 import org.spoolline.upgrade.VersionRegistry;
 
 /**
- * The HTTP API of users: submission, status and cancellation of jobs. Any controller serves it, leader or not, by reading
- * and committing to the key-value store itself, and responds only with what is committed. This class routes the requests.
- * To be used on the event loop only.
+ * The HTTP API for users: submission, status and cancellation of jobs. Every controller serves it, whether it is the
+ * leader or not, by reading from and committing to the key-value store directly. Responses report only committed state.
+ * This class routes the requests to their handlers. All methods are called on the event loop.
  */
 public final class JobApi {
     private static final String SUBMISSIONS_PATH = "/submissions";
@@ -24,7 +24,7 @@
     private final StatusHandler statusHandler;
     private final CancellationHandler cancellationHandler;
 
-    /** {@code onCancelled} gets the job id of each cancellation that this node confirms to a client. */
+    /** {@code onCancelled} receives the job id of each cancellation that this node confirms to a client. */
     public JobApi(
             EventLoop loop,
             Settings settings,
@@ -40,14 +40,14 @@
         submissionHandler = new SubmissionHandler(loop, store, versions, validator, ancestorChecker, statusHandler);
     }
 
-    /** True for the paths of this API. */
+    /** True if the path belongs to this API. */
     public static boolean serves(String path) {
         return path.equals(SUBMISSIONS_PATH) || path.startsWith(JOB_PATH_PREFIX);
     }
 
     /**
-     * Handles a request for a path that this API {@link #serves}. The responder gets exactly one response, now or later,
-     * on the event loop.
+     * Handles a request for a path that this API {@link #serves}. The responder receives exactly one response on the
+     * event loop, possibly before this method returns.
      */
     public void handle(Http.Request request, Consumer<Http.Response> responder) {
         if (!request.path().equals(SUBMISSIONS_PATH)) {
--- a/src/main/java/org/spoolline/api/JobResponseCodec.java
+++ b/src/main/java/org/spoolline/api/JobResponseCodec.java
@@ -10,8 +10,8 @@
 import org.spoolline.pipeline.SubmissionCodec;
 
 /**
- * The wire form of every response of the API: status codes, texts and fields, in the order in which clients get them.
- * Clients have come to depend on these bytes, so they change for no other reason than a new version of the protocol.
+ * Encodes every response of the API: status codes, texts and fields, in the order in which they are sent. Clients
+ * depend on the exact bytes, so these change only with a new version of the protocol.
  */
 final class JobResponseCodec {
     private static final String JOB_ID = "uid";
@@ -26,7 +26,7 @@
 
     private JobResponseCodec() {}
 
-    /** A job that was accepted just now, and cancelled at once if one of its dependencies is cancelled. */
+    /** A job that has just been accepted; it is already cancelled if one of its ancestors is cancelled. */
     static Http.Response accepted(Pipeline pipeline) {
         String status = pipeline.cancelled() ? CANCELLED : PENDING;
         return Http.Response.of(201, statusWithoutCounts(pipeline.jobId(), status));
@@ -42,7 +42,7 @@
         return Http.Response.of(200, status(pipeline.jobId(), status, pipeline.completedTasks(), runningTasks));
     }
 
-    /** The status of a job that is cancelled, and not yet in a terminal state. */
+    /** The status of a job that is cancelled but not yet in a terminal state. */
     static Http.Response cancelled(String jobId) {
         return Http.Response.of(200, statusWithoutCounts(jobId, CANCELLED));
     }
@@ -53,12 +53,12 @@
         return Http.Response.of(200, status(jobId, status, record.completedTasks(), 0));
     }
 
-    /** A submission that can't be read; the exception names the field. */
+    /** A malformed submission; the message of the exception names the field. */
     static Http.Response malformed(SubmissionCodec.Malformed cause) {
         return error(400, "malformed: " + cause.getMessage());
     }
 
-    /** A submission whose stored form exceeds a limit in bytes. */
+    /** A submission whose stored value would exceed {@code maxBytes}. */
     static Http.Response descriptionTooLong(int maxBytes) {
         return error(400, "malformed: the description is over " + maxBytes + " bytes");
     }
@@ -79,32 +79,32 @@
         };
     }
 
-    /** No job of this id was accepted, or no job can have such an id. */
+    /** No job with this id was ever accepted, or the id is invalid. */
     static Http.Response noSuchJob() {
         return error(404, "no such job");
     }
 
-    /** Submissions as a whole allow one method only. */
+    /** The path for submissions allows only POST. */
     static Http.Response usePost() {
         return error(405, "use POST");
     }
 
-    /** The path does not allow the method. */
+    /** The path of a job does not allow the method of the request. */
     static Http.Response methodNotAllowed() {
         return error(405, "method not allowed");
     }
 
-    /** The request can't be answered now: the client is to come again. */
+    /** The request can't be served at present; asks the client to retry. */
     static Http.Response unavailable() {
         return new Http.Response(503, Json.error("not now"), Constants.Api.RETRY_AFTER_S);
     }
 
-    /** This node's share of the store's rate limit is used up for now: the client is to come again. */
+    /** This node's share of the store's rate limit is exhausted; asks the client to retry. */
     static Http.Response rateLimited() {
         return new Http.Response(429, Json.error("too many requests"), Constants.Api.RETRY_AFTER_S);
     }
 
-    /** A job could not be read from the key-value store. */
+    /** A job could not be read from the key-value store; asks the client to retry. */
     static Http.Response readFailed(JobReader.Failure failure) {
         return failure == JobReader.Failure.RATE_LIMITED ? rateLimited() : unavailable();
     }
--- a/src/main/java/org/spoolline/api/StatusBatch.java
+++ b/src/main/java/org/spoolline/api/StatusBatch.java
@@ -14,12 +14,12 @@
 import org.spoolline.net.Http;
 
 /**
- * Collects status requests for a short time and confirms all of them by one request to the key-value store: a transaction
- * without writes, whose conditions tell which live values are still of the version that was last read. Used while few
- * requests are left under the rate limit.
+ * Collects status requests for a short time and checks all of them by one request to the key-value store: a transaction
+ * without writes, whose failed conditions identify the live values that have changed since they were last read. Used
+ * while the request budget under the rate limit is low.
  */
 final class StatusBatch {
-    /** A status request about a job whose last status may still hold. */
+    /** A status request for a job whose cached status may still be valid. */
     record Request(String jobId, LiveStatus lastStatus, Consumer<Http.Response> responder) {}
 
     private final EventLoop loop;
@@ -31,8 +31,8 @@
     /**
      * Creates an empty batch.
      *
-     * @param onUnchanged responds to a request about a job whose live value has not changed
-     * @param onChanged   responds to a request about a job that has changed, or is in a terminal state by now
+     * @param onUnchanged responds to a request for a job whose live value has not changed
+     * @param onChanged   responds to a request for a job whose live value has changed or was removed by its end
      */
     StatusBatch(EventLoop loop, KeyValueStoreClient store, Consumer<Request> onUnchanged, Consumer<Request> onChanged) {
         this.loop = loop;
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Adds a request. It gets its response after {@link Constants.Api#STATUS_BATCH_MS} at the latest plus the time of the
-     * request to the store, or sooner if the batch is full.
+     * Adds a request. The batch is sent to the store at the latest after {@link Constants.Api#STATUS_BATCH_MS}, or
+     * immediately once it is full; the responses follow when the store has answered.
      */
     void add(Request request) {
         requests.add(request);
@@ -54,7 +54,10 @@
         }
     }
 
-    /** Also runs by the timer of a batch that was full before: then there may be no request, or few of a later batch. */
+    /**
+     * Sends the collected requests as one batch. The timer of a batch that was already sent because it was full still
+     * calls this method; the current batch may then be empty or incomplete.
+     */
     private void confirmBatch() {
         if (requests.isEmpty()) {
             return;
--- a/src/main/java/org/spoolline/api/StatusHandler.java
+++ b/src/main/java/org/spoolline/api/StatusHandler.java
@@ -14,8 +14,9 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Responds to status requests with what is committed in the key-value store. While few requests are left under the rate
- * limit, jobs that were live when last read are confirmed in a {@link StatusBatch}, and others take turns.
+ * Responds to status requests with the state that is committed in the key-value store. While the request budget under
+ * the rate limit is low, the cached statuses of live jobs are checked in a {@link StatusBatch}, and other jobs are read
+ * only if they have not had a response recently.
  */
 final class StatusHandler {
     private static final long NEVER_RESPONDED = Long.MIN_VALUE / 2;
@@ -26,9 +27,9 @@
     private final AncestorChecker ancestorChecker;
     private final CancellationHandler cancellationHandler;
     private final StatusBatch batch;
-    /** When this node last responded with a job's status, in ms of the event loop's clock. */
+    /** Time of this node's last response with the status of each job, in ms of the event loop's time. */
     private final Map<String, Long> lastRespondedAt = new LruJobCache<>();
-    /** Jobs that were live when last read here. */
+    /** Cached statuses by job id, of jobs that were live when this node last read them. */
     private final Map<String, LiveStatus> liveStatuses = new LruJobCache<>();
 
     StatusHandler(
@@ -57,12 +58,12 @@
         }
     }
 
-    /** The status of a job that is known to be in a terminal state, without a request to the store; else empty. */
+    /** The status of a job whose terminal record is cached, without a request to the store; otherwise empty. */
     Optional<Http.Response> cachedTerminalStatus(String jobId) {
         return reader.cachedTerminalRecord(jobId).map(record -> JobResponseCodec.terminalStatus(jobId, record));
     }
 
-    /** Reads the job and responds with its status, or leaves the response to {@code onNeverAccepted}. */
+    /** Reads the job and responds with its status, or calls {@code onNeverAccepted} if it was never accepted. */
     void respondIfAccepted(String jobId, Consumer<Http.Response> responder, Runnable onNeverAccepted) {
         reader.read(
                 jobId,
@@ -80,8 +81,9 @@
     }
 
     /**
-     * Reads the job, unless the last requests under the rate limit are better left to other jobs: without turns, by chance
-     * alone some jobs would get no response for minutes while others get one each time.
+     * Reads the job. If the request budget is low and this node has responded for the job recently, it rejects the
+     * request instead, to leave the budget to other jobs. Without this rule some jobs would by chance get no response
+     * for minutes while others get one for each request.
      */
     private void read(String jobId, Consumer<Http.Response> responder) {
         if (store.requestBudgetLow() && respondedRecently(jobId)) {
@@ -115,8 +117,9 @@
     }
 
     /**
-     * A job that waits for dependencies is cancelled with any of its ancestors, even while no leader has recorded that. Its
-     * cancellation is committed before the response, since other nodes may have cached that no ancestor was cancelled.
+     * Responds with the status, unless an ancestor of the job is cancelled. In that case the job counts as cancelled
+     * even if no leader has recorded that yet. This node then commits the job's cancellation before it responds, since
+     * other nodes may have cached that no ancestor is cancelled.
      */
     private void respondUnlessAncestorCancelled(String jobId, LiveStatus status, Consumer<Http.Response> responder) {
         if (status.dependencies().isEmpty()) {
--- a/src/main/java/org/spoolline/api/SubmissionHandler.java
+++ b/src/main/java/org/spoolline/api/SubmissionHandler.java
@@ -17,8 +17,8 @@
 import org.spoolline.upgrade.VersionRegistry;
 
 /**
- * Accepts or rejects submissions. A submission is an idempotent request by its job id: a job is accepted once, and every
- * later submission of it gets the job's status.
+ * Accepts or rejects submissions. Submissions are idempotent by job id: a job is accepted once, and each later
+ * submission with the same id gets the status of that job.
  */
 final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
@@ -83,21 +83,25 @@
         }
     }
 
-    /** An accepted job must not be rejected later, even if this node's settings or machine types have changed. */
+    /**
+     * Rejects the submission, unless the job was accepted earlier: an accepted job must not be rejected later, even if
+     * this node's settings or the machine types have changed since.
+     */
     private void rejectUnlessAccepted(Submission job, Http.Response rejection, Consumer<Http.Response> responder) {
         statusHandler.respondIfAccepted(job.jobId(), responder, () -> responder.accept(rejection));
     }
 
     /**
-     * Bytes of the stored value of a new job at most. The attempts need the rest; a job that waits for dependencies has
-     * no attempts until its dependencies are dropped from the value.
+     * The maximum size in bytes of the stored value of a new job. The rest of the value limit is reserved for attempts.
+     * A job with dependencies may use more: it has no attempts until its dependencies are satisfied and removed from
+     * the value.
      */
     private int maxDescriptionBytes(Submission job) {
         double share = job.dependencies().isEmpty() ? Constants.Job.DESCRIPTION_SHARE : Constants.Job.VALUE_FILL;
         return (int) (store.safeValueBytes() * share);
     }
 
-    /** Accepts a job with dependencies once every controller can read such a job and all its dependencies were accepted. */
+    /** Accepts the job if all controllers can read jobs with dependencies and its dependencies can be satisfied. */
     private void acceptWithDependencies(Pipeline pipeline, Consumer<Http.Response> responder) {
         versions.checkUpgradeStatus(upgradeStatus -> {
             if (upgradeStatus == VersionRegistry.UpgradeStatus.ALL_UPGRADED) {
@@ -125,7 +129,7 @@
         });
     }
 
-    /** Stores the job by a compare-and-swap that requires both of its keys to be absent, and responds once it is stored. */
+    /** Stores the job by a compare-and-swap that requires its live and its terminal key to be absent, then responds. */
     private void accept(Pipeline pipeline, Consumer<Http.Response> responder) {
         if (!store.tryAcquire(1)) {
             responder.accept(JobResponseCodec.rateLimited());
--- a/src/main/java/org/spoolline/api/SubmissionValidator.java
+++ b/src/main/java/org/spoolline/api/SubmissionValidator.java
@@ -8,11 +8,11 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * Checks well-formed submissions against the settings and the machine types. A job that fails the check can never run; one
- * that passes may still have to wait for capacity.
+ * Checks well-formed submissions against the settings and the machine types. A job that fails the check can never run;
+ * a job that passes it may still have to wait for capacity.
  */
 final class SubmissionValidator {
-    /** Cores or accelerators by which sums of fractions may exceed a limit through rounding. */
+    /** Cores or accelerators by which a demand may exceed a limit because of floating-point rounding. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final Settings settings;
@@ -23,12 +23,12 @@
         this.catalog = catalog;
     }
 
-    /** True once the machine types are known; before that, nothing can be said about any job. */
+    /** True once the machine types are known; before that, no submission can be checked. */
     boolean isReady() {
         return catalog.isKnown();
     }
 
-    /** The first reason why the job can never run, or empty. To be called once {@link #isReady}. */
+    /** The first reason why the job can never run; empty if it can. Call only when {@link #isReady} is true. */
     Optional<UnsatisfiableReason> validate(Submission job) {
         Settings.Team team = settings.teams().get(job.team());
         if (team == null) {
@@ -58,7 +58,7 @@
                 || job.accelerators() * concurrentTasks > team.maxAccelerators() + ROUNDING_TOLERANCE;
     }
 
-    /** At most half of the tasks may be in one zone, and all tasks of a gang run at the same time. */
+    /** True for a spread gang: all its tasks run at the same time, and at most half of them may be in one zone. */
     private static boolean needsTwoZones(Submission job) {
         return job.gang() && job.spreadAcrossZones() && job.tasks() > 1;
     }
--- a/src/main/java/org/spoolline/api/package-info.java
+++ b/src/main/java/org/spoolline/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP API of users: submission, status and cancellation of jobs, answered from what is committed in the key-value
- * store. Requests come in through {@link org.spoolline.api.JobApi}.
+ * The HTTP API for users: submission, status and cancellation of jobs, served from the state committed in the key-value
+ * store. The entry point is {@link org.spoolline.api.JobApi}.
  */
 package org.spoolline.api;
--- a/src/test/java/org/spoolline/api/AncestorCheckerTest.java
+++ b/src/test/java/org/spoolline/api/AncestorCheckerTest.java
@@ -15,7 +15,7 @@
 import org.spoolline.net.Http;
 
 class AncestorCheckerTest {
-    /** Paths of the requests to the key-value store, none of which is answered. */
+    /** Paths of the requests to the key-value store, which never responds. */
     private final List<String> requestedPaths = new ArrayList<>();
 
     private AncestorChecker ancestorChecker() throws SettingsException {
@@ -28,8 +28,8 @@
     }
 
     /**
-     * The JDK's own unmodifiable sets are iterated in an order that differs between runs. No such order, in either
-     * direction and from whatever element, is the one of this list.
+     * Guards against reading the dependencies in the iteration order of the JDK's unmodifiable sets, which differs
+     * between runs. The list is chosen so that no such order equals it, in either direction and from any first element.
      */
     @Test
     void readsEachDependencyOnceInGivenOrder() throws SettingsException {
@@ -39,7 +39,7 @@
                 requestedPaths);
     }
 
-    /** Clients get other responses by another order, see {@link AncestorVerdict}. */
+    /** Clients would get different responses if the order of {@link AncestorVerdict}'s constants changed. */
     @Test
     void combineReturnsVerdictOfHigherPrecedence() {
         List<AncestorVerdict> ascending = List.of(
--- a/src/test/java/org/spoolline/api/JobApiFixture.java
+++ b/src/test/java/org/spoolline/api/JobApiFixture.java
@@ -23,9 +23,9 @@
 import org.spoolline.pipeline.SubmissionCodec;
 import org.spoolline.upgrade.VersionRegistry;
 
-/** A {@link JobApi} on a fake event loop, with a key-value store in memory that replies at once. */
+/** A {@link JobApi} on a fake event loop, with an in-memory key-value store that replies immediately. */
 final class JobApiFixture {
-    /** A proper submission that fits the machine types and the team's limit. */
+    /** A valid submission that fits the machine types and the team's limit. */
     static final String SUBMISSION =
             """
             {"uid":"run-1","lane":"format","desk":"t","shape":"batch","urgency":"standard","slips":1,"cores":1.0,
@@ -47,9 +47,9 @@
     final JobApi api;
     /** Method and path of each request to the key-value store. */
     final List<String> storeRequests = new ArrayList<>();
-    /** Jobs whose cancellation the API has confirmed, in order. */
+    /** Ids of the jobs whose cancellation the API has confirmed, in order. */
     final List<String> confirmedCancellations = new ArrayList<>();
-    /** Statuses of the replies to the next transactions, instead of what they would be. */
+    /** Statuses that the store replies to the next transactions, in order, instead of processing them. */
     final List<Integer> overriddenCommitStatuses = new ArrayList<>();
 
     boolean storeReachable = true;
@@ -67,7 +67,7 @@
         loop.runTo(10_000);
     }
 
-    /** One whose machine types are known and whose controllers all read dependencies. */
+    /** Creates a fixture with known machine types, all of whose controllers support dependencies. */
     static JobApiFixture ready() throws SettingsException {
         JobApiFixture fixture = new JobApiFixture();
         fixture.catalog.refresh(known -> {});
@@ -77,7 +77,7 @@
         return fixture;
     }
 
-    /** {@link #SUBMISSION} with fields replaced or, by {@code null}, removed: a name and its JSON in turn. */
+    /** {@link #SUBMISSION} with replaced fields: names and JSON values in turn; {@code null} removes a field. */
     static ObjectNode submission(String... fields) {
         ObjectNode submission = (ObjectNode) json(SUBMISSION);
         for (int i = 0; i < fields.length; i += 2) {
@@ -112,7 +112,7 @@
         put("job/" + pipeline.jobId(), pipeline.encode());
     }
 
-    /** Spends the budget until status requests are batched, and stay so for a few tenths of a second. */
+    /** Spends the request budget so far that status requests are batched for the next few tenths of a second. */
     void spendRequestBudgetUntilLow() {
         while (!store.requestBudgetLow()) {
             store.tryAcquire(0);
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Spends the whole budget. */
+    /** Spends the whole request budget. */
     void spendRequestBudget() {
         boolean acquired = true;
         while (acquired) {
@@ -142,14 +142,14 @@
         return request(method, path, new byte[0]);
     }
 
-    /** The response as one line, or all of them where there is not exactly one. */
+    /** The response as one line; if there is not exactly one response, the list of all of them. */
     String request(String method, String path, byte[] body) {
         List<String> responses = new ArrayList<>();
         api.handle(new Http.Request(method, path, "", body), response -> responses.add(formatResponse(response)));
         return responses.size() == 1 ? responses.get(0) : responses.toString();
     }
 
-    /** Status, Retry-After in seconds where there is one, and body. */
+    /** Formats the status, the Retry-After in seconds if it is set, and the body. */
     static String formatResponse(Http.Response response) {
         String retryAfter = response.retryAfterS() == 0 ? "" : " retry-after=" + response.retryAfterS();
         return response.status() + retryAfter + " " + new String(response.body(), UTF_8);
--- a/src/test/java/org/spoolline/api/JobApiRequestsTest.java
+++ b/src/test/java/org/spoolline/api/JobApiRequestsTest.java
@@ -11,7 +11,7 @@
 import org.spoolline.config.SettingsException;
 import org.spoolline.pipeline.SubmissionCodec;
 
-/** Responses to requests that are malformed, can never be satisfied or can't be answered now, byte by byte. */
+/** Exact responses to requests that are malformed, unsatisfiable or can't be served at present. */
 class JobApiRequestsTest {
     private static final String NO_SUCH_JOB = "404 {\"error\":\"no such job\"}";
     private static final String METHOD_NOT_ALLOWED = "405 {\"error\":\"method not allowed\"}";
@@ -172,7 +172,7 @@
         assertGangInOneZoneRejected("samePlace", "true");
         assertGangInOneZoneRejected("yard", "\"b\"");
         assertGangInOneZoneRejected("builds", "[\"large\"]");
-        assertFalse(fixture.storeRequests.contains("POST /commit"), "something was committed");
+        assertFalse(fixture.storeRequests.contains("POST /commit"), "no rejected job may be committed");
     }
 
     private void assertGangInOneZoneRejected(String field, String value) {
@@ -210,7 +210,7 @@
                 "true");
     }
 
-    /** What this node thinks of a job now does not count once the job is accepted. */
+    /** The settings or machine types may change after a job is accepted; submitting it again must return its status. */
     @Test
     void resubmissionOfAcceptedJobIsNotRejected() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
@@ -259,6 +259,6 @@
         assertSubmissionResponse(malformed("uid"), "uid", null);
         assertEquals(List.of(), fixture.storeRequests);
         assertSubmissionResponse(TOO_MANY_REQUESTS, "waitsOn", "[\"run-8\"]");
-        assertEquals(1, fixture.storeRequests.size(), "only the controllers' versions are read");
+        assertEquals(1, fixture.storeRequests.size(), "only the version records are read");
     }
 }
--- a/src/test/java/org/spoolline/api/JobApiStatusTest.java
+++ b/src/test/java/org/spoolline/api/JobApiStatusTest.java
@@ -12,7 +12,7 @@
 import org.spoolline.pipeline.SubmissionCodec;
 import org.spoolline.upgrade.ProductionForms;
 
-/** Statuses and cancellations, byte by byte, and the requests to the key-value store that they take. */
+/** Exact responses to status requests and cancellations, and the requests to the key-value store that they cause. */
 class JobApiStatusTest {
     private static final String PENDING = "200 {\"uid\":\"run-1\",\"status\":\"pending\",\"done\":0,\"running\":0}";
     private static final String ABORTED = "200 {\"uid\":\"run-1\",\"status\":\"aborted\"}";
@@ -42,7 +42,7 @@
         return requests;
     }
 
-    /** Asks for the status of each job and collects the responses, which come later. */
+    /** Requests the status of each job; the returned list is filled as the responses arrive. */
     private List<String> requestStatuses(String... jobIds) {
         List<String> responses = new ArrayList<>();
         for (String jobId : jobIds) {
@@ -129,7 +129,7 @@
                 fixture.submit(JobApiFixture.submission("uid", "\"run-3\"", "waitsOn", "[\"run-1\"]")));
     }
 
-    /** That a dependency can never be done counts more than that another is cancelled, in either order. */
+    /** A job with an unsatisfiable and a cancelled dependency must be rejected, in whichever order they are read. */
     @Test
     void neverAcceptedDependencyOutranksCancelledDependency() {
         recordTerminalState("run-2", "{\"end\":\"aborted\",\"done\":0}");
@@ -190,7 +190,7 @@
         assertEquals(List.of(TOO_MANY_REQUESTS, TOO_MANY_REQUESTS), responses);
     }
 
-    /** Those that were not answered lately come first. */
+    /** While the request budget is low, jobs without a recent response have priority; others must retry later. */
     @Test
     void recentlyAnsweredJobYieldsLowRequestBudget() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
