--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -141,7 +141,10 @@
         autoscaler.steppedDown();
     }
 
-    /** Marks the job as cancelled and notifies the leader, on this or another node, which must stop the job's tasks. */
+    /**
+     * Handles a cancellation that was confirmed to a user. The leader must stop the job's tasks, so this node marks the
+     * job as cancelled in its own job table, in case it is the leader, and notifies the leader if that is a peer.
+     */
     private void cancellationConfirmed(String jobId) {
         jobs.markCancelled(jobId);
         peerService.notifyLeaderOfCancellation(jobId);
--- a/src/main/java/org/spoolline/api/StatusHandler.java
+++ b/src/main/java/org/spoolline/api/StatusHandler.java
@@ -27,7 +27,7 @@
     private final AncestorChecker ancestorChecker;
     private final CancellationHandler cancellationHandler;
     private final StatusBatch batch;
-    /** Time of this node's last response with the status of each job, in ms of the event loop's time. */
+    /** Time of this node's last response with a job's status, by job id, in ms of the event loop's time. */
     private final Map<String, Long> lastRespondedAt = new LruJobCache<>();
     /** Cached statuses by job id, of jobs that were live when this node last read them. */
     private final Map<String, LiveStatus> liveStatuses = new LruJobCache<>();
--- a/src/main/java/org/spoolline/election/Campaign.java
+++ b/src/main/java/org/spoolline/election/Campaign.java
@@ -67,9 +67,9 @@
         }
         inProgress = true;
         long sentAt = loop.now();
-        store.createLease(settings.leadershipMs(), lease -> {
-            if (lease.isPresent()) {
-                readTokenCounter(leaderKeyVersion, lease.getAsLong(), sentAt);
+        store.createLease(settings.leadershipMs(), leaseId -> {
+            if (leaseId.isPresent()) {
+                readTokenCounter(leaderKeyVersion, leaseId.getAsLong(), sentAt);
             } else {
                 inProgress = false;
                 listener.storeUnavailable();
@@ -79,9 +79,9 @@
 
     private void readTokenCounter(long leaderKeyVersion, long leaseId, long leaseRequestSentAt) {
         store.acquireWithDebt(0);
-        store.get(LeaderElection.TOKEN_KEY, read -> {
-            if (read.answered()) {
-                commitElection(leaderKeyVersion, leaseId, leaseRequestSentAt, read.value());
+        store.get(LeaderElection.TOKEN_KEY, result -> {
+            if (result.answered()) {
+                commitElection(leaderKeyVersion, leaseId, leaseRequestSentAt, result.value());
             } else {
                 inProgress = false;
                 listener.storeUnavailable();
--- a/src/main/java/org/spoolline/election/LeaderElection.java
+++ b/src/main/java/org/spoolline/election/LeaderElection.java
@@ -17,10 +17,10 @@
  * <p>{@link LeaderKeyObserver} watches the leader key, {@link Campaign} tries to write the key when no other node holds
  * it, and {@link LeaseKeeper} renews the lease that the key is attached to.
  *
- * <p>Two rules ensure safety (docs/design.md, "Leadership"). First, a leader makes decisions and answers requests only
- * while {@link #hasValidLease} is true, checked again for each answer; during that time no other node can win an
- * election. Second, every write of a leader requires {@link #leaderKeyVersion}, so the store rejects a late write of a
- * former leader.
+ * <p>Two rules ensure safety (docs/design.md, "Leadership"). First, a leader makes decisions and sends responses that
+ * depend on them only while {@link #hasValidLease} is true, checked again for each response; during that time no other
+ * node can win an election. Second, every write of a leader requires {@link #leaderKeyVersion}, so the store rejects a
+ * late write of a former leader.
  *
  * <p>All methods are called on the event loop.
  */
@@ -91,7 +91,7 @@
         return leading;
     }
 
-    /** True while this node may make decisions and commit them. Check it again immediately before each answer. */
+    /** True while this node may make decisions and commit them. Check it again immediately before each response. */
     public boolean hasValidLease() {
         return leading && loop.now() < leaseKeeper.validUntil();
     }
--- a/src/main/java/org/spoolline/election/LeaderKeyObserver.java
+++ b/src/main/java/org/spoolline/election/LeaderKeyObserver.java
@@ -120,7 +120,7 @@
     /**
      * True for a leader key that names this node although it is not the leader, unless this node is backing off. Such
      * a key was written by an earlier process of this node, or by an election transaction that was applied but not
-     * answered. No node leads with it, so this node overwrites the key without waiting for its lease to end.
+     * answered. Normally no node leads with it, so this node overwrites the key without waiting for its lease to end.
      *
      * <p>This is safe even if the earlier process is still running. The campaign overwrites only the version that was
      * read. After that the store rejects the earlier process's writes because of the new version, and workers reject
--- a/src/main/java/org/spoolline/election/StalenessBound.java
+++ b/src/main/java/org/spoolline/election/StalenessBound.java
@@ -4,7 +4,7 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Limits how stale the leader's view of all jobs may be for each kind of answer to a worker.
+ * Limits how stale the leader's view of all jobs may be for each kind of decision and of response to a worker.
  *
  * <p>The view is complete as of a time t when it contains every change that was committed before t. Renewing the
  * leadership lease does not advance t, since another node may have confirmed cancellations that the view does not
@@ -58,8 +58,8 @@
     }
 
     /**
-     * True while the view is recent enough for answers that renew workers' leases. A task that a later view no longer
-     * contains then runs at most until its worker's lease expires.
+     * True while the view is recent enough for heartbeat responses that renew workers' leases. A task that a later view
+     * no longer contains then runs at most until its worker's lease expires.
      */
     public boolean mayRenewLeases() {
         return election.mayKeepAlive() && loop.now() < settings.leadershipEndsAt(completeAsOf) + settings.keepAliveMs();
--- a/src/test/java/org/spoolline/api/JobApiFixture.java
+++ b/src/test/java/org/spoolline/api/JobApiFixture.java
@@ -67,7 +67,7 @@
         loop.runTo(10_000);
     }
 
-    /** Creates a fixture with known machine types, all of whose controllers support dependencies. */
+    /** Creates a fixture in which the machine types are known and all controllers support dependencies. */
     static JobApiFixture ready() throws SettingsException {
         JobApiFixture fixture = new JobApiFixture();
         fixture.catalog.refresh(known -> {});
