--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -45,7 +45,7 @@
     private final PeerService peerService;
     private final NodeHealth health;
     private final RequestRouter router;
-    private Runnable onLeaderKnown = () -> {};
+    private Runnable leaderKnownCallback = () -> {};
 
     /**
      * Creates the components of a node. No component invokes a callback before {@link #start}, so components may be
@@ -90,7 +90,7 @@
 
     /** Starts the node; {@code onLeaderKnown} runs each time this node is elected or observes another leader. */
     public void start(Runnable onLeaderKnown) {
-        this.onLeaderKnown = onLeaderKnown;
+        leaderKnownCallback = onLeaderKnown;
         start();
     }
 
@@ -126,12 +126,12 @@
         heartbeatService.disableOrders();
         autoscaler.elected(token);
         scheduler.elected(token);
-        onLeaderKnown.run();
+        leaderKnownCallback.run();
     }
 
     @Override
     public void leaderObserved(String leader) {
-        onLeaderKnown.run();
+        leaderKnownCallback.run();
     }
 
     @Override
