--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -25,12 +25,12 @@
 import org.spoolline.worker.HeartbeatService;
 
 /**
- * One controller node: its parts, wired together. Clock, random source and network come from outside, and every method
- * runs on the event loop.
+ * One controller node: creates the components of the node and connects them. The event loop with its clock, the random
+ * generator and the network are passed in. All methods are called on the event loop.
  */
 public final class Controller implements LeaderElection.Listener {
-    /** Path on the internal address where operators read the node's status and counters. */
-    public static final String COUNTERS = "/counters";
+    /** Path on the internal address at which operators read the node's status and counters. */
+    public static final String COUNTERS_PATH = "/counters";
 
     private final EventLoop loop;
     private final Counters counters;
@@ -45,14 +45,14 @@
     private final PeerService peerService;
     private final NodeHealth health;
     private final RequestRouter router;
-    private Runnable leaderKnown = () -> {};
+    private Runnable leaderKnownCallback = () -> {};
 
     /**
-     * Wires a node. Nothing is called back before {@link #start}, so the parts that refer to one another may be given
-     * this node and each other while it is being built.
+     * Creates the components of a node. No component invokes a callback before {@link #start}, so components may be
+     * given references to this node and to one another before construction is complete.
      *
      * @param http   sends requests to the key-value store, the cloud, the peers and the workers
-     * @param random decides how long a candidate waits before it campaigns
+     * @param random source of the random delay before a campaign
      */
     public Controller(Settings settings, EventLoop loop, Http.Caller http, RandomGenerator random) {
         this.loop = loop;
@@ -70,7 +70,7 @@
                 new SchedulerContext(
                         loop, settings, store, election, staleness, catalog, machines, jobs, counters, stalls),
                 autoscaler,
-                new WorkerOrders());
+                new WorkerNotifier());
         heartbeatService = new HeartbeatService(
                 loop,
                 http,
@@ -82,15 +82,15 @@
                 scheduler,
                 scheduler::machineChanged,
                 counters);
-        peerService = new PeerService(loop, http, settings, store, election, new RequestsOfPeers());
+        peerService = new PeerService(loop, http, settings, store, election, new PeerRequestHandler());
         health = new NodeHealth(loop, store, catalog, election, heartbeatService, peerService);
         NodeStatus status = new NodeStatus(settings.node(), election, staleness, store, catalog, stalls, counters);
         router = new RequestRouter(jobApi, heartbeatService, peerService, store, health, status, counters);
     }
 
-    /** Starts; {@code onLeaderKnown} runs each time this node learns who leads, itself or another. */
+    /** Starts the node; {@code onLeaderKnown} runs each time this node is elected or observes another leader. */
     public void start(Runnable onLeaderKnown) {
-        leaderKnown = onLeaderKnown;
+        leaderKnownCallback = onLeaderKnown;
         start();
     }
 
@@ -98,27 +98,27 @@
     public void start() {
         counters.start();
         election.start();
-        loop.after(Constants.Store.VERSION_RECORD_DELAY_MS, versions::start);
+        loop.after(Constants.Store.VERSION_RECORD_DELAY_MS, versions::recordThisController);
         catalog.start();
         peerService.start();
-        health.startProbing();
+        health.probePeriodically();
     }
 
-    /** What the node has counted since its start. */
+    /** The counters of events since the node was created. */
     public Counters counters() {
         return counters;
     }
 
-    /** Serves users, workers and health checks. */
-    public void serve(Http.Request request, Consumer<Http.Response> answer) {
-        // A loop that is busy with requests is late with its timers, and leadership must not end by that.
+    /** Serves a request of a user, a worker or a health check; the responder receives exactly one response. */
+    public void serve(Http.Request request, Consumer<Http.Response> responder) {
+        // An event loop that is busy with requests runs its timers late; the lease must not expire because of that.
         election.renewIfDue();
-        router.serve(request, answer);
+        router.serve(request, responder);
     }
 
-    /** Serves the other controllers, and operators who read the counters. */
-    public void servePeer(Http.Request request, Consumer<Http.Response> answer) {
-        router.servePeer(request, answer);
+    /** Serves a request of another controller, or of an operator who reads the counters. */
+    public void servePeer(Http.Request request, Consumer<Http.Response> responder) {
+        router.servePeer(request, responder);
     }
 
     @Override
@@ -126,12 +126,12 @@
         heartbeatService.disableOrders();
         autoscaler.elected(token);
         scheduler.elected(token);
-        leaderKnown.run();
+        leaderKnownCallback.run();
     }
 
     @Override
     public void leaderObserved(String leader) {
-        leaderKnown.run();
+        leaderKnownCallback.run();
     }
 
     @Override
@@ -141,19 +141,22 @@
         autoscaler.steppedDown();
     }
 
-    /** A user has the confirmation that the job is cancelled. The leader must end its tasks, whichever node it is. */
+    /**
+     * Handles a cancellation that was confirmed to a user. The leader must stop the job's tasks, so this node marks the
+     * job as cancelled in its own job table, in case it is the leader, and notifies the leader if that is a peer.
+     */
     private void cancellationConfirmed(String jobId) {
         jobs.markCancelled(jobId);
         peerService.notifyLeaderOfCancellation(jobId);
     }
 
-    /** The autoscaler has changed the machines; it is built before the scheduler. */
+    /** Requests a cycle for the autoscaler, which is created before the scheduler and can't hold a reference to it. */
     private void requestCycle() {
         scheduler.requestCycle();
     }
 
-    /** Passes the results of scheduling cycles on to the workers. */
-    private final class WorkerOrders implements CycleListener {
+    /** Forwards the results of scheduling cycles to the workers. */
+    private final class WorkerNotifier implements CycleListener {
         @Override
         public void jobsLoaded() {
             heartbeatService.enableOrders();
@@ -172,11 +175,11 @@
         }
     }
 
-    /** What the peers may ask of this node. */
-    private final class RequestsOfPeers implements PeerService.Local {
+    /** Handles requests of peers to this node. */
+    private final class PeerRequestHandler implements PeerService.LocalNode {
         @Override
-        public void handle(Http.Request request, Consumer<Http.Response> answer) {
-            jobApi.handle(request, answer);
+        public void handle(Http.Request request, Consumer<Http.Response> responder) {
+            jobApi.handle(request, responder);
         }
 
         @Override
--- a/src/main/java/org/spoolline/api/CancellationHandler.java
+++ b/src/main/java/org/spoolline/api/CancellationHandler.java
@@ -15,7 +15,7 @@
 import org.spoolline.net.Json;
 import org.spoolline.pipeline.Pipeline;
 
-/** Cancels jobs by a compare-and-swap of their live value, and confirms a cancellation only once it is committed. */
+/** Cancels jobs by a compare-and-swap of their live value and confirms a cancellation only after it is committed. */
 final class CancellationHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
 
@@ -23,7 +23,7 @@
     private final JobReader reader;
     private final Consumer<String> onCancelled;
 
-    /** {@code onCancelled} gets the id of the job before each response that confirms a cancellation. */
+    /** {@code onCancelled} receives the job id before each response that confirms a cancellation. */
     CancellationHandler(KeyValueStoreClient store, JobReader reader, Consumer<String> onCancelled) {
         this.store = store;
         this.reader = reader;
@@ -31,8 +31,9 @@
     }
 
     /**
-     * Cancels a job, and responds with its status. A job in a terminal state stays as it is, a cancelled one is confirmed
-     * again. After {@link Constants.Api#CANCEL_TRIES} concurrent changes the client is to come again.
+     * Cancels a job and responds with its status. A job in a terminal state is not changed. If the job is already
+     * cancelled, the cancellation is confirmed again. After {@link Constants.Api#CANCEL_TRIES} commits that failed
+     * because of concurrent changes, the response asks the client to retry.
      */
     void cancel(String jobId, Consumer<Http.Response> responder) {
         cancel(jobId, Constants.Api.CANCEL_TRIES, responder);
@@ -58,7 +59,7 @@
     private void cancelLive(String jobId, StoredJob.Live live, int triesLeft, Consumer<Http.Response> responder) {
         Pipeline pipeline = Pipeline.decode(live.value());
         if (pipeline.cancelled()) {
-            confirm(jobId, responder);
+            respondCancelled(jobId, responder);
             return;
         }
         if (!store.tryAcquire(1)) {
@@ -71,8 +72,8 @@
         store.commit(transaction, result -> {
             if (result.outcome() == CommitOutcome.APPLIED) {
                 LOG.info("Cancelled job: job={}", jobId);
-                confirm(jobId, responder);
-            } else if (isWorthRetrying(result.outcome()) && triesLeft > 1) {
+                respondCancelled(jobId, responder);
+            } else if (isRetryable(result.outcome()) && triesLeft > 1) {
                 cancel(jobId, triesLeft - 1, responder);
             } else {
                 responder.accept(JobResponseCodec.unavailable());
@@ -80,7 +81,7 @@
         });
     }
 
-    /** The value of the job once it is cancelled, in a form that the limits in force allow. */
+    /** Cancels and encodes the job, without its list of attempts if the value would exceed the limits in force. */
     private ObjectNode cancelledValue(Pipeline pipeline) {
         pipeline.cancel();
         ObjectNode value = pipeline.encode();
@@ -91,12 +92,12 @@
         return value;
     }
 
-    /** True after a concurrent change, and after a commit that showed that lower announced limits are in force. */
-    private static boolean isWorthRetrying(CommitOutcome outcome) {
+    /** True after a concurrent change, and after a rejection for size, which puts the announced limits in force. */
+    private static boolean isRetryable(CommitOutcome outcome) {
         return outcome == CommitOutcome.CONFLICT || outcome == CommitOutcome.TOO_LARGE;
     }
 
-    private void confirm(String jobId, Consumer<Http.Response> responder) {
+    private void respondCancelled(String jobId, Consumer<Http.Response> responder) {
         onCancelled.accept(jobId);
         responder.accept(JobResponseCodec.cancelled(jobId));
     }
--- a/src/main/java/org/spoolline/peer/PeerService.java
+++ b/src/main/java/org/spoolline/peer/PeerService.java
@@ -12,28 +12,28 @@
 import org.spoolline.net.Http;
 
 /**
- * Exchanges messages with the other controllers, so that this node can tell an outage of the key-value store from being
- * cut off alone, learns of higher fencing tokens, and can forward users' requests while it alone does not reach the
- * store. The peer that commits a forwarded request is the one that answers it.
+ * Exchanges messages with the other controllers. From their statuses this node can distinguish an outage of the
+ * key-value store from a network failure that affects only itself, and learns of higher fencing tokens. While only this
+ * node cannot reach the store, it forwards users' requests to a peer, which commits and answers them.
  *
  * <p>All methods are called on the event loop.
  */
 public final class PeerService {
-    private static final String STATUS = "/status";
-    private static final String FORWARD = "/forward";
-    private static final String CANCELLED = "/cancelled";
+    private static final String STATUS_PATH = "/status";
+    private static final String FORWARD_PATH = "/forward";
+    private static final String CANCELLED_PATH = "/cancelled";
     private static final byte[] NO_BODY = new byte[0];
     private static final Http.Response OK = Http.Response.of(200, NO_BODY);
     private static final Http.Response BAD_REQUEST = Http.Response.of(400, NO_BODY);
     private static final Http.Response NOT_FOUND = Http.Response.of(404, NO_BODY);
     private static final Http.Response UNAVAILABLE = new Http.Response(503, NO_BODY, Constants.Api.RETRY_AFTER_S);
-    /** Ms after which a status says nothing about the peer any more: two exchanges were missed. */
+    /** Age in ms at which a peer's status is stale: two exchanges in a row have failed by then. */
     private static final long STATUS_VALID_MS = 2 * Constants.Peer.PEER_PING_MS + Constants.Peer.PEER_TIMEOUT_MS;
 
-    /** What peers may ask of this node. */
-    public interface Local {
-        /** Serves a user's request that a peer has forwarded. */
-        void handle(Http.Request request, Consumer<Http.Response> answer);
+    /** The functions of this node that peers call. */
+    public interface LocalNode {
+        /** Serves a user's request that a peer has forwarded; the responder receives exactly one response. */
+        void handle(Http.Request request, Consumer<Http.Response> responder);
 
         /** True when workers send heartbeats to this node. */
         boolean receivesHeartbeats();
@@ -42,7 +42,7 @@
         void jobCancelled(String jobId);
     }
 
-    /** A peer's last status, with when it came, in ms of the event loop's time. */
+    /** The last status of a peer, and when it was received, in ms of the event loop's time. */
     private record ReceivedStatus(PeerStatus status, long receivedAt) {}
 
     private final EventLoop loop;
@@ -50,26 +50,26 @@
     private final Settings settings;
     private final KeyValueStoreClient store;
     private final LeaderElection election;
-    private final Local local;
+    private final LocalNode localNode;
     private final Map<String, ReceivedStatus> statusByNode = new HashMap<>();
 
-    /** A service that sends nothing before {@link #start}. */
+    /** Creates a service, which sends no message before {@link #start}. */
     public PeerService(
             EventLoop loop,
             Http.Caller http,
             Settings settings,
             KeyValueStoreClient store,
             LeaderElection election,
-            Local local) {
+            LocalNode localNode) {
         this.loop = loop;
         this.http = http;
         this.settings = settings;
         this.store = store;
         this.election = election;
-        this.local = local;
+        this.localNode = localNode;
     }
 
-    /** Begins to exchange statuses with each peer. */
+    /** Starts the periodic exchange of statuses with each peer. */
     public void start() {
         for (Settings.Peer peer : settings.peers()) {
             exchangeStatus(peer);
@@ -77,49 +77,50 @@
     }
 
     private void exchangeStatus(Settings.Peer peer) {
-        send(peer, STATUS, PeerCodec.encode(localStatus()), reply -> {
+        send(peer, STATUS_PATH, PeerCodec.encode(localStatus()), reply -> {
             if (reply.ok()) {
-                observeStatus(reply.body());
+                recordStatus(reply.body());
             }
             loop.after(Constants.Peer.PEER_PING_MS, () -> exchangeStatus(peer));
         });
     }
 
-    /** Serves a peer's request to the internal address. */
-    public void handle(Http.Request request, Consumer<Http.Response> answer) {
+    /** Serves a peer's request to the internal address; the responder receives exactly one response. */
+    public void handle(Http.Request request, Consumer<Http.Response> responder) {
         switch (request.path()) {
-            case STATUS -> {
-                observeStatus(request.body());
-                answer.accept(Http.Response.of(200, PeerCodec.encode(localStatus())));
+            case STATUS_PATH -> {
+                recordStatus(request.body());
+                responder.accept(Http.Response.of(200, PeerCodec.encode(localStatus())));
             }
-            case FORWARD -> handleForwarded(request, answer);
-            case CANCELLED -> {
-                local.jobCancelled(PeerCodec.decodeCancellation(request.body()));
-                answer.accept(OK);
+            case FORWARD_PATH -> handleForwarded(request, responder);
+            case CANCELLED_PATH -> {
+                localNode.jobCancelled(PeerCodec.decodeCancellation(request.body()));
+                responder.accept(OK);
             }
-            default -> answer.accept(NOT_FOUND);
+            default -> responder.accept(NOT_FOUND);
         }
     }
 
-    private void handleForwarded(Http.Request request, Consumer<Http.Response> answer) {
+    private void handleForwarded(Http.Request request, Consumer<Http.Response> responder) {
         Optional<Http.Request> forwarded = PeerCodec.decodeRequest(request.body());
         if (forwarded.isEmpty()) {
-            answer.accept(BAD_REQUEST);
+            responder.accept(BAD_REQUEST);
             return;
         }
-        local.handle(forwarded.get(), response -> answer.accept(Http.Response.of(200, PeerCodec.encode(response))));
+        localNode.handle(
+                forwarded.get(), response -> responder.accept(Http.Response.of(200, PeerCodec.encode(response))));
     }
 
     /**
-     * Notifies the leader of a cancellation that was committed and is now confirmed here. The leader learns of it through
-     * its watch as well, unless the key-value store refuses the leader alone; without the notification the tasks would
-     * then run until their leases expire.
+     * Notifies the leader of a cancellation that is committed and that this node confirms to the user. The leader also
+     * observes the cancellation through its watch on the jobs, unless the key-value store rejects only the leader's
+     * requests. Without the notification, the tasks would then run until their workers' leases expire.
      */
     public void notifyLeaderOfCancellation(String cancelledJobId) {
         String leader = election.knownLeader().orElse("");
         for (Settings.Peer peer : settings.peers()) {
             if (peer.node().equals(leader)) {
-                send(peer, CANCELLED, PeerCodec.encodeCancellation(cancelledJobId), reply -> {});
+                send(peer, CANCELLED_PATH, PeerCodec.encodeCancellation(cancelledJobId), reply -> {});
             }
         }
     }
@@ -127,13 +128,17 @@
     /**
      * Forwards a user's request to a peer that reaches the key-value store.
      *
-     * @return false when no peer is known to reach it; {@code answer} is then not called
+     * @return false if no peer is known to reach the store; {@code responder} is then not called
      */
-    public boolean forward(Http.Request request, Consumer<Http.Response> answer) {
+    public boolean forward(Http.Request request, Consumer<Http.Response> responder) {
         for (Settings.Peer peer : settings.peers()) {
-            ReceivedStatus last = statusByNode.get(peer.node());
-            if (last != null && reachesStore(last)) {
-                send(peer, FORWARD, PeerCodec.encode(request), reply -> answer.accept(forwardedResponse(reply)));
+            ReceivedStatus received = statusByNode.get(peer.node());
+            if (received != null && reachesStore(received)) {
+                send(
+                        peer,
+                        FORWARD_PATH,
+                        PeerCodec.encode(request),
+                        reply -> responder.accept(forwardedResponse(reply)));
                 return true;
             }
         }
@@ -144,15 +149,15 @@
         return reply.ok() ? PeerCodec.decodeResponse(reply.body()).orElse(UNAVAILABLE) : UNAVAILABLE;
     }
 
-    /** True when a peer that reaches the key-value store has lately said that workers send heartbeats to it. */
-    public boolean anyReceivesHeartbeats() {
+    /** True if a current status of a peer says that it reaches the key-value store and receives heartbeats. */
+    public boolean anyPeerReceivesHeartbeats() {
         return statusByNode.values().stream()
                 .anyMatch(
                         received -> reachesStore(received) && received.status().receivesHeartbeats());
     }
 
-    /** True when a peer has lately said that it reaches the key-value store. */
-    public boolean anyReachesStore() {
+    /** True if a current status of a peer says that it reaches the key-value store. */
+    public boolean anyPeerReachesStore() {
         return statusByNode.values().stream().anyMatch(this::reachesStore);
     }
 
@@ -162,17 +167,17 @@
 
     private PeerStatus localStatus() {
         return new PeerStatus(
-                settings.node(), election.highestKnownToken(), store.reachable(), local.receivesHeartbeats());
+                settings.node(), election.highestKnownToken(), store.reachable(), localNode.receivesHeartbeats());
     }
 
-    private void observeStatus(byte[] message) {
+    private void recordStatus(byte[] message) {
         PeerCodec.decodeStatus(message).ifPresent(status -> {
             statusByNode.put(status.node(), new ReceivedStatus(status, loop.now()));
             election.observeToken(status.token());
         });
     }
 
-    private void send(Settings.Peer peer, String path, byte[] message, Consumer<Http.Reply> done) {
-        http.call(peer.address(), "POST", path, message, Constants.Peer.PEER_TIMEOUT_MS, done);
+    private void send(Settings.Peer peer, String path, byte[] message, Consumer<Http.Reply> onReply) {
+        http.call(peer.address(), "POST", path, message, Constants.Peer.PEER_TIMEOUT_MS, onReply);
     }
 }
