--- a/src/main/java/org/spoolline/scheduler/CapacityScaler.java
+++ b/src/main/java/org/spoolline/scheduler/CapacityScaler.java
@@ -24,10 +24,10 @@
     /** Scales out for the plan's demands and in where no work is or is expected. */
     void scale(SchedulingPlan plan, CycleState state) {
         Set<String> expectingWork = machinesOfProposedAttempts();
-        expectingWork.addAll(plan.accumulating());
+        expectingWork.addAll(plan.accumulatingMachines());
         reservations.addMachinesTo(expectingWork);
         double recentCores =
-                ClusterSnapshot.recentlyRequestedCores(state.workingJobs().values(), loop.timeOfDay());
+                ClusterSnapshot.recentlyRequestedCores(state.jobsToPlan().values(), loop.timeOfDay());
         autoscaler.reconcile(
                 plan.demands(), recentCores, name -> jobs.hasAttemptsOn(name) || expectingWork.contains(name));
     }
--- a/src/main/java/org/spoolline/scheduler/CommitListener.java
+++ b/src/main/java/org/spoolline/scheduler/CommitListener.java
@@ -23,44 +23,44 @@
     }
 
     @Override
-    public void sent(PendingWrite write) {
-        termState.dirtyAttempts().unmark(write.jobId());
+    public void writeSent(PendingWrite write) {
+        termState.dirtyAttempts().markClean(write.jobId());
     }
 
     @Override
-    public void applied(PendingWrite write, long revision) {
-        Pipeline next = write.next();
-        Pipeline before = write.entry().committed();
-        for (Attempt attempt : next.attempts()) {
-            if (!before.hasAttempt(attempt)) {
+    public void writeApplied(PendingWrite write, long revision) {
+        Pipeline proposed = write.proposed();
+        Pipeline committed = write.entry().committed();
+        for (Attempt attempt : proposed.attempts()) {
+            if (!committed.hasAttempt(attempt)) {
                 termState.notifier().ordersChanged(attempt.machine());
             }
         }
         if (write.terminal()) {
-            terminated(next, revision);
+            handleTerminalState(proposed, revision);
         } else {
             jobs.commitProposed(write.entry(), revision);
         }
     }
 
-    private void terminated(Pipeline job, long revision) {
+    private void handleTerminalState(Pipeline job, long revision) {
         String jobId = job.jobId();
         LOG.info("Job reached a terminal state: job={} state={}", jobId, job.succeeded() ? "done" : "cancelled");
         jobs.remove(jobId, revision);
-        termState.dependencies().recorded(jobId, TerminalRecord.of(job));
-        termState.forget(jobId);
+        termState.dependencies().terminalRecordStored(jobId, TerminalRecord.of(job));
+        termState.removeJob(jobId);
     }
 
     /** What was decided is not stored, so all of the job's attempts are to be reconciled again. */
     @Override
-    public void abandoned(JobEntry entry) {
+    public void writeAbandoned(JobEntry entry) {
         termState
                 .dirtyAttempts()
-                .mark(entry.committed().jobId(), entry.committed().attempts());
+                .markDirty(entry.committed().jobId(), entry.committed().attempts());
     }
 
     @Override
-    public void transactionDecided(boolean applied) {
+    public void outcomeKnown(boolean applied) {
         if (applied) {
             termState.notifier().notifyOrdersChanged();
         }
--- a/src/main/java/org/spoolline/scheduler/CyclePacer.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePacer.java
@@ -13,19 +13,19 @@
     private final EventLoop loop;
     private final Settings settings;
     private final Runnable cycle;
-    private boolean scheduled;
-    private long mayDeferUntil;
+    private boolean cycleScheduled;
+    private long deferralDeadline;
 
     CyclePacer(EventLoop loop, Settings settings, Runnable cycle) {
         this.loop = loop;
         this.settings = settings;
         this.cycle = cycle;
-        this.mayDeferUntil = loop.now();
+        this.deferralDeadline = loop.now();
     }
 
     /** Begins a term. */
-    void begin() {
-        mayDeferUntil = loop.now() + settings.workers().heartbeatMs();
+    void beginTerm() {
+        deferralDeadline = loop.now() + settings.workers().heartbeatMs();
     }
 
     /**
@@ -34,10 +34,10 @@
      * @param lastWriteCount number of values that the last cycle had to write
      */
     void request(int lastWriteCount) {
-        if (scheduled) {
+        if (cycleScheduled) {
             return;
         }
-        scheduled = true;
+        cycleScheduled = true;
         double load = Math.min(1.0, (double) lastWriteCount / Constants.Cycle.CYCLE_FULL_BATCH);
         long minMs = settings.operator().cycleMinMs();
         long maxMs = settings.operator().cycleMaxMs();
@@ -45,17 +45,17 @@
     }
 
     private void schedule(long delayMs) {
-        long dueAt = loop.now() + delayMs;
-        loop.after(delayMs, () -> runOrDefer(loop.now() - dueAt));
+        long dueAtMs = loop.now() + delayMs;
+        loop.after(delayMs, () -> runOrDefer(loop.now() - dueAtMs));
     }
 
-    private void runOrDefer(long lateMs) {
-        if (lateMs > Constants.Cycle.CYCLE_LATE_MS && loop.now() < mayDeferUntil) {
-            schedule(lateMs);
+    private void runOrDefer(long latenessMs) {
+        if (latenessMs > Constants.Cycle.CYCLE_LATE_MS && loop.now() < deferralDeadline) {
+            schedule(latenessMs);
             return;
         }
-        scheduled = false;
-        mayDeferUntil = loop.now();
+        cycleScheduled = false;
+        deferralDeadline = loop.now();
         cycle.run();
     }
 }
--- a/src/main/java/org/spoolline/scheduler/CyclePlanner.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePlanner.java
@@ -14,22 +14,25 @@
     private static final SchedulingPlan EMPTY_PLAN =
             new SchedulingPlan(Map.of(), List.of(), List.of(), Set.of(), Set.of());
 
-    private final ClusterSnapshotBuilder snapshots;
-    private final LaunchPreparer launches;
+    private final ClusterSnapshotBuilder snapshotBuilder;
+    private final LaunchPreparer launchPreparer;
     private final MachineEvictions evictions;
     private final Counters counters;
     private boolean lastPlanFailed;
 
     CyclePlanner(
-            ClusterSnapshotBuilder snapshots, LaunchPreparer launches, MachineEvictions evictions, Counters counters) {
-        this.snapshots = snapshots;
-        this.launches = launches;
+            ClusterSnapshotBuilder snapshotBuilder,
+            LaunchPreparer launchPreparer,
+            MachineEvictions evictions,
+            Counters counters) {
+        this.snapshotBuilder = snapshotBuilder;
+        this.launchPreparer = launchPreparer;
         this.evictions = evictions;
         this.counters = counters;
     }
 
     /** Begins a term. */
-    void begin() {
+    void beginTerm() {
         lastPlanFailed = false;
     }
 
@@ -41,15 +44,15 @@
     /** Plans placements, preemptions and evacuations; tasks that have ended are written even when planning fails. */
     SchedulingPlan plan(CycleState state) {
         try {
-            ClusterSnapshot snapshot =
-                    snapshots.build(state.workingJobs(), launches.fullJobs(), evictions.mayConsolidate());
+            ClusterSnapshot snapshot = snapshotBuilder.build(
+                    state.jobsToPlan(), launchPreparer.jobsWithFullValue(), evictions.mayConsolidate());
             SchedulingPlan plan = PlacementPlanner.plan(snapshot);
             lastPlanFailed = false;
             return plan;
         } catch (RuntimeException e) {
             lastPlanFailed = true;
             counters.count(Event.PLAN_FAILED);
-            LOG.error("Planning failed: jobs={}", state.workingJobs().size(), e);
+            LOG.error("Planning failed: jobs={}", state.jobsToPlan().size(), e);
             return EMPTY_PLAN;
         }
     }
--- a/src/main/java/org/spoolline/scheduler/DependencyTracker.java
+++ b/src/main/java/org/spoolline/scheduler/DependencyTracker.java
@@ -30,7 +30,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
 
     /** What a cycle does with a job that waits for dependencies. */
-    enum Verdict {
+    enum Status {
         /** It waits on: the outcome of some dependency is not known. */
         UNSATISFIED,
         /** It is released: all dependencies are done. */
@@ -45,16 +45,16 @@
     private final Runnable onChange;
     private long term;
     /** Terminal records known of jobs that others depend on. */
-    private final Map<String, TerminalRecord> records = new HashMap<>();
+    private final Map<String, TerminalRecord> terminalRecords = new HashMap<>();
     /** Jobs whose terminal record is being read. */
-    private final Set<String> reading = new HashSet<>();
+    private final Set<String> readsInFlight = new HashSet<>();
     /** Waiting jobs by each of their dependencies. */
     private final Map<String, List<Pipeline>> dependents = new HashMap<>();
 
-    /** Verdicts other than {@link AttemptState#UNSATISFIED}. */
-    private final Map<String, Verdict> verdicts = new HashMap<>();
+    /** Statuses other than {@link Status#UNSATISFIED}. */
+    private final Map<String, Status> statuses = new HashMap<>();
 
-    private final Map<String, Submission.Priority> inherited = new HashMap<>();
+    private final Map<String, Submission.Priority> inheritedPriorities = new HashMap<>();
 
     DependencyTracker(EventLoop loop, KeyValueStoreClient store, JobTable jobs, Runnable onChange) {
         this.loop = loop;
@@ -64,77 +64,77 @@
     }
 
     /** Begins the term of this token, or with 0 ends the present one; forgets everything read in an earlier term. */
-    void begin(long token) {
+    void beginTerm(long token) {
         term = token;
-        records.clear();
-        reading.clear();
+        terminalRecords.clear();
+        readsInFlight.clear();
         dependents.clear();
-        verdicts.clear();
-        inherited.clear();
+        statuses.clear();
+        inheritedPriorities.clear();
     }
 
     /** Records that the terminal record of a job is stored. */
-    void recorded(String jobId, TerminalRecord record) {
-        records.put(jobId, record);
+    void terminalRecordStored(String jobId, TerminalRecord record) {
+        terminalRecords.put(jobId, record);
     }
 
     /** Decides on every waiting job by what is known now, and reads the records that are missing. */
     void refresh() {
         dependents.clear();
-        verdicts.clear();
-        inherited.clear();
+        statuses.clear();
+        inheritedPriorities.clear();
         List<JobEntry> waiting = new ArrayList<>();
         for (JobEntry entry : jobs.entries()) {
             if (entry.committed().hasUnsatisfiedDependencies()) {
                 waiting.add(entry);
                 for (String dependency : entry.committed().spec().dependencies()) {
                     dependents
-                            .computeIfAbsent(dependency, unknown -> new ArrayList<>())
+                            .computeIfAbsent(dependency, id -> new ArrayList<>())
                             .add(entry.committed());
                 }
             }
         }
-        records.keySet().retainAll(dependents.keySet());
+        terminalRecords.keySet().retainAll(dependents.keySet());
         if (waiting.isEmpty()) {
             return;
         }
         cancelDependents();
         for (JobEntry entry : waiting) {
-            if (verdictOf(entry.committed()) == Verdict.UNSATISFIED && allDependenciesDone(entry.committed())) {
-                verdicts.put(entry.committed().jobId(), Verdict.SATISFIED);
+            if (statusOf(entry.committed()) == Status.UNSATISFIED && allDependenciesDone(entry.committed())) {
+                statuses.put(entry.committed().jobId(), Status.SATISFIED);
             }
         }
         inheritPriorities(waiting);
     }
 
     /** The decision on a job that waits for dependencies, as of the last {@link #refresh}. */
-    Verdict verdictOf(Pipeline waiting) {
-        return verdicts.getOrDefault(waiting.jobId(), Verdict.UNSATISFIED);
+    Status statusOf(Pipeline waiting) {
+        return statuses.getOrDefault(waiting.jobId(), Status.UNSATISFIED);
     }
 
-    /** The job's next value, with its verdict carried out. */
-    Pipeline step(Pipeline waiting) {
-        Pipeline next = waiting.copy();
-        switch (verdictOf(waiting)) {
+    /** The job's proposed value, with its status applied. */
+    Pipeline applyStatus(Pipeline waiting) {
+        Pipeline proposed = waiting.copy();
+        switch (statusOf(waiting)) {
             case SATISFIED -> {
-                next.satisfyDependencies(loop.timeOfDay());
-                LOG.info("Dependencies satisfied: job={}", next.jobId());
+                proposed.satisfyDependencies(loop.timeOfDay());
+                LOG.info("Dependencies satisfied: job={}", proposed.jobId());
             }
             case CANCELLED -> {
                 waiting.spec().dependencies().stream()
                         .filter(this::isCancelled)
                         .findFirst()
-                        .ifPresent(next::cancelWithDependency);
-                LOG.info("Cancelled with a dependency: job={}", next.jobId());
+                        .ifPresent(proposed::cancelWithDependency);
+                LOG.info("Cancelled with a dependency: job={}", proposed.jobId());
             }
             case UNSATISFIED -> {}
         }
-        return next;
+        return proposed;
     }
 
     /** By job, the highest priority among the waiting jobs that depend on it, directly or through others. */
     Map<String, Submission.Priority> inheritedPriorities() {
-        return inherited;
+        return inheritedPriorities;
     }
 
     /** Goes from the cancelled jobs to all that depend on them: a chain of any length is cancelled in one cycle. */
@@ -147,7 +147,7 @@
         }
         while (!cancelled.isEmpty()) {
             for (Pipeline dependent : dependents.getOrDefault(cancelled.remove(), List.of())) {
-                if (verdicts.put(dependent.jobId(), Verdict.CANCELLED) == null) {
+                if (statuses.put(dependent.jobId(), Status.CANCELLED) == null) {
                     cancelled.add(dependent.jobId());
                 }
             }
@@ -157,29 +157,29 @@
     private boolean isCancelled(String jobId) {
         JobEntry live = jobs.get(jobId);
         if (live != null) {
-            return live.cancelled() || verdicts.get(jobId) == Verdict.CANCELLED;
+            return live.cancelled() || statuses.get(jobId) == Status.CANCELLED;
         }
-        TerminalRecord record = records.get(jobId);
+        TerminalRecord record = terminalRecords.get(jobId);
         return record != null && !record.done();
     }
 
     /** True when the records of all dependencies are known; those of jobs that are no longer live are read. */
     private boolean allDependenciesDone(Pipeline waiting) {
-        boolean all = true;
+        boolean allDone = true;
         for (String jobId : waiting.spec().dependencies()) {
-            TerminalRecord record = records.get(jobId);
+            TerminalRecord record = terminalRecords.get(jobId);
             if (record == null) {
-                all = false;
+                allDone = false;
                 if (jobs.get(jobId) == null) {
-                    readRecord(jobId);
+                    readTerminalRecord(jobId);
                 }
             }
         }
-        return all;
+        return allDone;
     }
 
-    private void readRecord(String jobId) {
-        if (!reading.add(jobId)) {
+    private void readTerminalRecord(String jobId) {
+        if (!readsInFlight.add(jobId)) {
             return;
         }
         long readTerm = term;
@@ -189,15 +189,15 @@
                 return;
             }
             if (read.answered() && read.value().exists()) {
-                reading.remove(jobId);
-                records.put(jobId, TerminalRecord.decode(read.value().value()));
+                readsInFlight.remove(jobId);
+                terminalRecords.put(jobId, TerminalRecord.decode(read.value().value()));
                 onChange.run();
                 return;
             }
             // No answer, or the watch has not delivered the live value of the dependency yet.
             loop.after(Constants.Time.RETRY_MS, () -> {
                 if (term == readTerm) {
-                    reading.remove(jobId);
+                    readsInFlight.remove(jobId);
                     onChange.run();
                 }
             });
@@ -208,20 +208,23 @@
     private void inheritPriorities(List<JobEntry> waiting) {
         List<Pipeline> byPriority = new ArrayList<>();
         for (JobEntry entry : waiting) {
-            if (!entry.cancelled() && verdictOf(entry.committed()) != Verdict.CANCELLED) {
+            if (!entry.cancelled() && statusOf(entry.committed()) != Status.CANCELLED) {
                 byPriority.add(entry.committed());
             }
         }
         byPriority.sort(
                 Comparator.comparing((Pipeline job) -> job.spec().priority()).reversed());
         for (Pipeline dependent : byPriority) {
-            Deque<String> inheriting = new ArrayDeque<>(dependent.spec().dependencies());
-            while (!inheriting.isEmpty()) {
-                String jobId = inheriting.remove();
+            Deque<String> dependenciesToVisit =
+                    new ArrayDeque<>(dependent.spec().dependencies());
+            while (!dependenciesToVisit.isEmpty()) {
+                String jobId = dependenciesToVisit.remove();
                 JobEntry live = jobs.get(jobId);
                 if (live != null
-                        && inherited.putIfAbsent(jobId, dependent.spec().priority()) == null) {
-                    inheriting.addAll(live.committed().spec().dependencies());
+                        && inheritedPriorities.putIfAbsent(
+                                        jobId, dependent.spec().priority())
+                                == null) {
+                    dependenciesToVisit.addAll(live.committed().spec().dependencies());
                 }
             }
         }
--- a/src/main/java/org/spoolline/scheduler/DirtyAttempts.java
+++ b/src/main/java/org/spoolline/scheduler/DirtyAttempts.java
@@ -39,32 +39,32 @@
     }
 
     /** Marks the attempts on all machines that have changed since the last call. */
-    void collect() {
+    void markOnChangedMachines() {
         for (Machine machine : changedMachines) {
             jobs.attemptsOn(machine.name()).forEach((attemptId, attempt) -> {
-                ofJob(attemptId.jobId()).add(attempt);
-                images.learn(machine, attemptId);
+                getOrCreate(attemptId.jobId()).add(attempt);
+                images.recordReportedTask(machine, attemptId);
             });
         }
         changedMachines.clear();
     }
 
     /** The job's dirty attempts. */
-    Set<Attempt> get(String jobId) {
+    Set<Attempt> attemptsOf(String jobId) {
         return byJob.getOrDefault(jobId, Set.of());
     }
 
     /** Marks these attempts of the job. */
-    void mark(String jobId, Collection<Attempt> attempts) {
-        ofJob(jobId).addAll(attempts);
+    void markDirty(String jobId, Collection<Attempt> attempts) {
+        getOrCreate(jobId).addAll(attempts);
     }
 
     /** Marks no attempt of the job as dirty any longer. */
-    void unmark(String jobId) {
+    void markClean(String jobId) {
         byJob.remove(jobId);
     }
 
-    private Set<Attempt> ofJob(String jobId) {
-        return byJob.computeIfAbsent(jobId, unknown -> new HashSet<>());
+    private Set<Attempt> getOrCreate(String jobId) {
+        return byJob.computeIfAbsent(jobId, id -> new HashSet<>());
     }
 }
--- a/src/main/java/org/spoolline/scheduler/EncodedWrite.java
+++ b/src/main/java/org/spoolline/scheduler/EncodedWrite.java
@@ -18,8 +18,8 @@
     /** Encodes a write. */
     static EncodedWrite of(PendingWrite write) {
         ObjectNode value = write.terminal()
-                ? TerminalRecord.of(write.next()).encode()
-                : write.next().encode();
+                ? TerminalRecord.of(write.proposed()).encode()
+                : write.proposed().encode();
         return new EncodedWrite(write, value, Json.bytes(value).length);
     }
 
--- a/src/main/java/org/spoolline/scheduler/ImageTracker.java
+++ b/src/main/java/org/spoolline/scheduler/ImageTracker.java
@@ -23,10 +23,10 @@
      * Learns from a reported task. One that is past its fetch shows that its image is cached; a new leader has no other
      * source for this.
      */
-    void learn(Machine machine, AttemptId attemptId) {
+    void recordReportedTask(Machine machine, AttemptId attemptId) {
         TaskStatus status = machine.tasks().get(attemptId);
         JobEntry entry = jobs.get(attemptId.jobId());
-        if (status == null || entry == null || !holdsImage(status)) {
+        if (status == null || entry == null || !hasFetchedImage(status)) {
             return;
         }
         Submission spec = entry.committed().spec();
@@ -43,7 +43,7 @@
         }
     }
 
-    private static boolean holdsImage(TaskStatus status) {
+    private static boolean hasFetchedImage(TaskStatus status) {
         return status.phase() != TaskStatus.Phase.FETCHING_IMAGE && status.phase() != TaskStatus.Phase.EXITED;
     }
 }
--- a/src/main/java/org/spoolline/scheduler/JobPauses.java
+++ b/src/main/java/org/spoolline/scheduler/JobPauses.java
@@ -26,7 +26,7 @@
     /** Ends the pauses whose time is up; to be called before {@link #isPaused}. */
     void expire() {
         long now = loop.now();
-        pausedUntil.values().removeIf(until -> until <= now);
+        pausedUntil.values().removeIf(deadline -> deadline <= now);
     }
 
     /** True while the job is paused, as of the last {@link #expire}. */
--- a/src/main/java/org/spoolline/scheduler/JobStepper.java
+++ b/src/main/java/org/spoolline/scheduler/JobStepper.java
@@ -36,16 +36,16 @@
     }
 
     /** Begins a term: the first full reconciliation is due one interval from now. */
-    void begin() {
+    void beginTerm() {
         lastFullReconcileAt = loop.now();
     }
 
     /** Steps every live job. */
-    CycleState stepAll() {
+    CycleState stepJobs() {
         boolean fullReconcile = startFullReconcileIfDue();
         CycleState state = new CycleState();
         for (JobEntry entry : jobs.entries()) {
-            step(entry, fullReconcile, state);
+            stepJob(entry, fullReconcile, state);
         }
         return state;
     }
@@ -59,7 +59,7 @@
         return due;
     }
 
-    private void step(JobEntry entry, boolean fullReconcile, CycleState state) {
+    private void stepJob(JobEntry entry, boolean fullReconcile, CycleState state) {
         if (entry.inFlight()) {
             state.addJob(entry.proposed());
         } else if (entry.committed().hasUnsatisfiedDependencies() && !entry.cancelled()) {
@@ -70,29 +70,30 @@
     }
 
     private void stepByDependencies(JobEntry entry, CycleState state) {
-        if (dependencies.verdictOf(entry.committed()) == DependencyTracker.Verdict.UNSATISFIED) {
+        if (dependencies.statusOf(entry.committed()) == DependencyTracker.Status.UNSATISFIED) {
             return;
         }
-        Pipeline next = dependencies.step(entry.committed());
-        state.addJob(next);
-        state.addWrite(entry, next);
+        Pipeline proposed = dependencies.applyStatus(entry.committed());
+        state.addJob(proposed);
+        state.addWrite(entry, proposed);
     }
 
     private void reconcile(JobEntry entry, boolean fullReconcile, CycleState state) {
         Pipeline committed = entry.committed();
         String jobId = committed.jobId();
-        Collection<Attempt> due =
-                fullReconcile || needsFullReconcile(entry) ? committed.attempts() : dirtyAttempts.get(jobId);
-        boolean unaffected = due.isEmpty() && !committed.cancelled();
-        Optional<Pipeline> next =
-                unaffected ? Optional.empty() : reconciler.tryReconcile(committed, due, earlierDecisions(entry));
-        state.addJob(next.orElse(committed));
-        if (next.isPresent()) {
-            counters.count(Event.ATTEMPT_RELEASED, jobs.release(entry, next.get(), due));
-            state.addWrite(entry, next.get());
-            dirtyAttempts.mark(jobId, due);
+        Collection<Attempt> attemptsToReconcile =
+                fullReconcile || needsFullReconcile(entry) ? committed.attempts() : dirtyAttempts.attemptsOf(jobId);
+        boolean nothingToReconcile = attemptsToReconcile.isEmpty() && !committed.cancelled();
+        Optional<Pipeline> proposed = nothingToReconcile
+                ? Optional.empty()
+                : reconciler.tryReconcile(committed, attemptsToReconcile, earlierDecisions(entry));
+        state.addJob(proposed.orElse(committed));
+        if (proposed.isPresent()) {
+            counters.count(Event.ATTEMPT_RELEASED, jobs.release(entry, proposed.get(), attemptsToReconcile));
+            state.addWrite(entry, proposed.get());
+            dirtyAttempts.markDirty(jobId, attemptsToReconcile);
         } else {
-            dirtyAttempts.unmark(jobId);
+            dirtyAttempts.markClean(jobId);
         }
     }
 
--- a/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
+++ b/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
@@ -29,8 +29,8 @@
     private final GangLaunchOrder gangLaunches;
     private final ImageTracker images;
     private final Counters counters;
-    private final StallMonitor stalls;
-    private final JobPauses fullJobs;
+    private final StallMonitor stallMonitor;
+    private final JobPauses jobsWithFullValue;
 
     LaunchPreparer(SchedulerContext context, GangLaunchOrder gangLaunches, ImageTracker images) {
         this.store = context.store();
@@ -38,52 +38,56 @@
         this.gangLaunches = gangLaunches;
         this.images = images;
         this.counters = context.counters();
-        this.stalls = context.stalls();
-        this.fullJobs = new JobPauses(context.loop());
+        this.stallMonitor = context.stalls();
+        this.jobsWithFullValue = new JobPauses(context.loop());
     }
 
     /** Forgets everything of an earlier term. */
     void clear() {
-        fullJobs.clear();
+        jobsWithFullValue.clear();
     }
 
     /**
      * Jobs whose value has lately had no space for all placed attempts. Their placements would leave capacity unused in
      * cycle after cycle, so they are not placed for a while.
      */
-    JobPauses fullJobs() {
-        fullJobs.expire();
-        return fullJobs;
+    JobPauses jobsWithFullValue() {
+        jobsWithFullValue.expire();
+        return jobsWithFullValue;
     }
 
     /** Adds attempts for the placements of every job to the values to be written. */
     void prepare(Map<String, List<Placement>> placements, CycleState state) {
-        placements.forEach((jobId, placed) -> prepare(jobId, placed, state));
+        placements.forEach((jobId, jobPlacements) -> prepare(jobId, jobPlacements, state));
     }
 
     private void prepare(String jobId, List<Placement> placements, CycleState state) {
         JobEntry entry = jobs.get(jobId);
         PendingWrite write = state.pendingWrites().get(jobId);
-        Pipeline next = write == null ? entry.committed().copy() : write.next();
-        long number = attemptNumber(next);
-        Set<AttemptId> withImage = new HashSet<>();
-        List<Attempt> added = addAttempts(next, number, placements, withImage);
-        withdrawUntilValueFits(next, added);
+        Pipeline proposed = write == null ? entry.committed().copy() : write.proposed();
+        long attemptNumber = attemptNumber(proposed);
+        Set<AttemptId> attemptsWithImage = new HashSet<>();
+        List<Attempt> added = addAttempts(proposed, attemptNumber, placements, attemptsWithImage);
+        withdrawUntilValueFits(proposed, added);
         if (added.size() < placements.size()) {
-            fullJobs.pause(jobId, Constants.Cycle.VALUE_FULL_BACKOFF_MS);
+            jobsWithFullValue.pause(jobId, Constants.Cycle.VALUE_FULL_BACKOFF_MS);
         }
-        if (next.spec().gang()) {
-            gangLaunches.launchAfterPeers(jobId, withImage);
+        if (proposed.spec().gang()) {
+            gangLaunches.launchAfterPeers(jobId, attemptsWithImage);
         }
         if (!added.isEmpty()) {
             counters.count(Event.TASK_PLACED, added.size());
-            stalls.progress();
+            stallMonitor.progress();
         }
         if (!added.isEmpty() && write == null) {
-            state.addWrite(entry, next);
+            state.addWrite(entry, proposed);
         }
         LOG.info(
-                "Placed tasks: job={} placed={} planned={} attempt={}", jobId, added.size(), placements.size(), number);
+                "Placed tasks: job={} placed={} planned={} attempt={}",
+                jobId,
+                added.size(),
+                placements.size(),
+                attemptNumber);
     }
 
     /** Members that complete a gang share the number of the members that it has. */
@@ -92,16 +96,17 @@
         return completesGang ? job.attempts().iterator().next().number() : job.nextAttemptNumber();
     }
 
-    /** Adds an attempt for each placement; {@code withImage} receives those whose machine has the image. */
-    private List<Attempt> addAttempts(Pipeline job, long number, List<Placement> placements, Set<AttemptId> withImage) {
+    /** Adds an attempt for each placement; {@code attemptsWithImage} receives those whose machine has the image. */
+    private List<Attempt> addAttempts(
+            Pipeline job, long attemptNumber, List<Placement> placements, Set<AttemptId> attemptsWithImage) {
         List<Attempt> added = new ArrayList<>();
         for (Placement placement : placements) {
             Machine machine = placement.machine();
-            Attempt attempt = new Attempt(placement.task(), number, machine.name(), machine.incarnation());
+            Attempt attempt = new Attempt(placement.task(), attemptNumber, machine.name(), machine.incarnation());
             job.addAttempt(attempt);
             added.add(attempt);
             if (machine.hasImage(job.spec().image())) {
-                withImage.add(AttemptId.of(job.jobId(), attempt));
+                attemptsWithImage.add(AttemptId.of(job.jobId(), attempt));
             }
             images.recordUse(machine, job.spec());
         }
@@ -111,8 +116,8 @@
     /** Withdraws attempts from the end until the value fits: all of a gang, half of an array at a time. */
     private void withdrawUntilValueFits(Pipeline job, List<Attempt> added) {
         while (!added.isEmpty() && !valueFits(job)) {
-            int withdrawn = job.spec().gang() ? added.size() : (added.size() + 1) / 2;
-            for (int i = 0; i < withdrawn; i++) {
+            int withdrawCount = job.spec().gang() ? added.size() : (added.size() + 1) / 2;
+            for (int i = 0; i < withdrawCount; i++) {
                 job.withdrawAttempt(added.remove(added.size() - 1));
             }
         }
--- a/src/main/java/org/spoolline/scheduler/MachineEvictions.java
+++ b/src/main/java/org/spoolline/scheduler/MachineEvictions.java
@@ -29,7 +29,7 @@
     }
 
     /** Begins a term: the first consolidation is due one interval from now. */
-    void begin() {
+    void beginTerm() {
         lastConsolidationAt = loop.now();
     }
 
@@ -39,9 +39,9 @@
     }
 
     /** Starts the plan's preemptions and evacuations. */
-    void start(SchedulingPlan plan) {
+    void startEvictions(SchedulingPlan plan) {
         startPreemptions(plan.preemptions());
-        startEvacuation(plan.evacuated());
+        startEvacuation(plan.machinesToEvacuate());
     }
 
     private void startPreemptions(List<Preemption> preemptions) {
@@ -57,12 +57,12 @@
         }
     }
 
-    private void startEvacuation(Set<String> evacuated) {
-        if (evacuated.isEmpty()) {
+    private void startEvacuation(Set<String> machinesToEvacuate) {
+        if (machinesToEvacuate.isEmpty()) {
             return;
         }
         lastConsolidationAt = loop.now();
-        LOG.info("Consolidating: evacuated={}", evacuated.size());
-        evacuated.forEach(name -> machines.get(name).evacuate());
+        LOG.info("Consolidating: evacuated={}", machinesToEvacuate.size());
+        machinesToEvacuate.forEach(name -> machines.get(name).evacuate());
     }
 }
--- a/src/main/java/org/spoolline/scheduler/OrderNotifier.java
+++ b/src/main/java/org/spoolline/scheduler/OrderNotifier.java
@@ -27,17 +27,17 @@
 
     /** Notifies the listener while writes are pending. */
     void notifyOrdersChanged() {
-        listener.ordersChanged(takeMachines());
+        listener.ordersChanged(getAndClearMachines());
     }
 
     /** Notifies the listener after every decision was written. */
     void notifyOrdersComplete() {
-        listener.ordersComplete(takeMachines());
+        listener.ordersComplete(getAndClearMachines());
     }
 
-    private Set<String> takeMachines() {
-        Set<String> taken = new LinkedHashSet<>(machinesWithNewOrders);
+    private Set<String> getAndClearMachines() {
+        Set<String> machines = new LinkedHashSet<>(machinesWithNewOrders);
         machinesWithNewOrders.clear();
-        return taken;
+        return machines;
     }
 }
--- a/src/main/java/org/spoolline/scheduler/PipelineWriter.java
+++ b/src/main/java/org/spoolline/scheduler/PipelineWriter.java
@@ -18,21 +18,21 @@
     /** Is notified of what becomes of pending writes. */
     interface Listener {
         /** The write is part of a transaction that was sent. */
-        void sent(PendingWrite write);
+        void writeSent(PendingWrite write);
 
         /** The write is stored, with this revision. */
-        void applied(PendingWrite write, long revision);
+        void writeApplied(PendingWrite write, long revision);
 
         /** The write to this job is not stored and never will be. */
-        void abandoned(JobEntry entry);
+        void writeAbandoned(JobEntry entry);
 
         /** The outcome of a transaction, or of a write that was read again, is known; true when it was applied. */
-        void transactionDecided(boolean applied);
+        void outcomeKnown(boolean applied);
     }
 
     private final KeyValueStoreClient store;
-    private final RefusedWrites refused;
-    private final WriteOrder order;
+    private final RefusedWrites refusedWrites;
+    private final WriteOrder writeOrder;
     private final TransactionCommitter committer;
     private final WriteLog writeLog;
 
@@ -44,22 +44,22 @@
             Listener listener,
             Counters counters) {
         this.store = store;
-        this.refused = new RefusedWrites(loop);
+        this.refusedWrites = new RefusedWrites(loop);
         this.writeLog = new WriteLog(counters);
-        this.order = new WriteOrder(loop, store, refused);
-        this.committer = new TransactionCommitter(loop, store, election, jobs, refused, listener, writeLog);
+        this.writeOrder = new WriteOrder(loop, store, refusedWrites);
+        this.committer = new TransactionCommitter(loop, store, election, jobs, refusedWrites, listener, writeLog);
     }
 
     /** Begins the term of this token, or with 0 ends the present one; answers to transactions in flight are ignored. */
-    void begin(long token) {
-        committer.begin(token);
-        order.clear();
-        refused.clear();
+    void beginTerm(long token) {
+        committer.beginTerm(token);
+        writeOrder.clear();
+        refusedWrites.clear();
     }
 
     /** True when no transaction is in flight. */
-    boolean idle() {
-        return committer.idle();
+    boolean isIdle() {
+        return committer.isIdle();
     }
 
     /**
@@ -69,11 +69,11 @@
      * @return true when all were sent; the next cycle decides the others again
      */
     boolean write(Map<String, PendingWrite> writes) {
-        List<PendingWrite> ordered = order.order(writes);
+        List<PendingWrite> writesToSend = writeOrder.writesToSend(writes);
         Map<String, PendingWrite> unsent = new LinkedHashMap<>(writes);
         int allowance = store.availableWrites();
         WriteBatch batch = new WriteBatch();
-        for (PendingWrite write : ordered) {
+        for (PendingWrite write : writesToSend) {
             if (allowance < EncodedWrite.operations(write) || !committer.maySend()) {
                 break;
             }
@@ -82,7 +82,7 @@
                 // A value from before the limits were lowered: it is written once enough of its tasks have ended.
                 continue;
             }
-            if (mustStartBatch(batch, encoded)) {
+            if (needsNewBatch(batch, encoded)) {
                 send(batch);
                 batch = new WriteBatch();
             }
@@ -90,14 +90,14 @@
             unsent.remove(write.jobId());
             allowance -= encoded.operations();
         }
-        boolean lastSent = sendIfPossible(batch);
+        boolean lastBatchSent = sendIfPossible(batch);
         writeLog.deferred(unsent.values(), allowance);
-        return lastSent && unsent.isEmpty();
+        return lastBatchSent && unsent.isEmpty();
     }
 
-    private boolean mustStartBatch(WriteBatch batch, EncodedWrite next) {
-        boolean isolated = refused.isIsolated(next.write().jobId()) && !batch.isEmpty();
-        return isolated || !batch.fits(next, store.limits().txnOps());
+    private boolean needsNewBatch(WriteBatch batch, EncodedWrite encoded) {
+        boolean isolated = refusedWrites.isIsolated(encoded.write().jobId()) && !batch.isEmpty();
+        return isolated || !batch.fits(encoded, store.limits().txnOps());
     }
 
     /** True when nothing of the batch is left to be sent. */
@@ -114,7 +114,7 @@
 
     private void send(WriteBatch batch) {
         for (PendingWrite write : batch.pendingWrites()) {
-            order.sent(write.jobId());
+            writeOrder.markSent(write.jobId());
         }
         committer.send(batch);
     }
--- a/src/main/java/org/spoolline/scheduler/QuotaAudit.java
+++ b/src/main/java/org/spoolline/scheduler/QuotaAudit.java
@@ -45,41 +45,41 @@
             return;
         }
         lastAuditAt = loop.now();
-        listedUsage().forEach(this::compare);
+        reportedUsage().forEach(this::checkLimit);
     }
 
-    private Map<String, TeamUsage> listedUsage() {
+    private Map<String, TeamUsage> reportedUsage() {
         Map<String, TeamUsage> usageByTeam = new HashMap<>();
         for (Machine machine : machines.all()) {
             if (!machine.terminated() && loop.now() - machine.lastHeartbeatAt() <= settings.leaseExpiryMs()) {
-                machine.tasks().forEach((attemptId, status) -> addIfOnMachine(usageByTeam, attemptId, status));
+                machine.tasks().forEach((attemptId, status) -> addUsage(usageByTeam, attemptId, status));
             }
         }
         return usageByTeam;
     }
 
-    private void addIfOnMachine(Map<String, TeamUsage> usageByTeam, AttemptId attemptId, TaskStatus status) {
-        boolean onMachine =
+    private void addUsage(Map<String, TeamUsage> usageByTeam, AttemptId attemptId, TaskStatus status) {
+        boolean usesResources =
                 status.phase() != TaskStatus.Phase.EXITED && status.phase() != TaskStatus.Phase.FETCHING_IMAGE;
         JobEntry job = jobs.get(attemptId.jobId());
-        if (onMachine && job != null) {
+        if (usesResources && job != null) {
             Pipeline committed = job.committed();
             usageByTeam
-                    .computeIfAbsent(committed.spec().team(), unseen -> new TeamUsage())
+                    .computeIfAbsent(committed.spec().team(), name -> new TeamUsage())
                     .add(committed.spec(), 1);
         }
     }
 
-    private void compare(String name, TeamUsage listed) {
-        Settings.Team team = settings.teams().get(name);
-        if (team != null && !listed.isWithinLimit(team)) {
+    private void checkLimit(String teamName, TeamUsage reported) {
+        Settings.Team team = settings.teams().get(teamName);
+        if (team != null && !reported.isWithinLimit(team)) {
             counters.count(Event.TEAM_EXCEEDS_QUOTA);
             LOG.error(
                     "Team over its limit by heartbeats: team={} cores={} limit={} stored_cores={}",
-                    name,
-                    listed.cores(),
+                    teamName,
+                    reported.cores(),
                     team.maxCores(),
-                    jobs.coresUsed(name));
+                    jobs.coresUsed(teamName));
         }
     }
 }
--- a/src/main/java/org/spoolline/scheduler/RefusedWrites.java
+++ b/src/main/java/org/spoolline/scheduler/RefusedWrites.java
@@ -10,46 +10,46 @@
  * can't fail the writes of others; a paused one is not written for a while.
  */
 final class RefusedWrites {
-    private final Set<String> isolated = new HashSet<>();
-    private final JobPauses pauses;
+    private final Set<String> isolatedJobs = new HashSet<>();
+    private final JobPauses jobPauses;
 
     RefusedWrites(EventLoop loop) {
-        this.pauses = new JobPauses(loop);
+        this.jobPauses = new JobPauses(loop);
     }
 
     /** Forgets everything of an earlier term. */
     void clear() {
-        isolated.clear();
-        pauses.clear();
+        isolatedJobs.clear();
+        jobPauses.clear();
     }
 
     /** Isolates a job of a refused transaction. */
     void isolate(String jobId) {
-        isolated.add(jobId);
+        isolatedJobs.add(jobId);
     }
 
     /** Ends the isolation of a job that was written. */
-    void written(String jobId) {
-        isolated.remove(jobId);
+    void endIsolation(String jobId) {
+        isolatedJobs.remove(jobId);
     }
 
     /** True when the job has to be written in a transaction of its own. */
     boolean isIsolated(String jobId) {
-        return isolated.contains(jobId);
+        return isolatedJobs.contains(jobId);
     }
 
     /** Pauses a job whose value is too large: unchanged it fails again, but some of its tasks may end meanwhile. */
-    void pauseOversized(String jobId) {
-        pauses.pause(jobId, Constants.Cycle.OVERSIZED_VALUE_BACKOFF_MS);
+    void pauseOversizedJob(String jobId) {
+        jobPauses.pause(jobId, Constants.Cycle.OVERSIZED_VALUE_BACKOFF_MS);
     }
 
     /** Ends the pauses whose time is up. */
     void expirePauses() {
-        pauses.expire();
+        jobPauses.expire();
     }
 
     /** True while the job is not to be written. */
     boolean isPaused(String jobId) {
-        return pauses.isPaused(jobId);
+        return jobPauses.isPaused(jobId);
     }
 }
--- a/src/main/java/org/spoolline/scheduler/Scheduler.java
+++ b/src/main/java/org/spoolline/scheduler/Scheduler.java
@@ -35,14 +35,14 @@
     private final MachineRegistry machines;
     private final JobTable jobs;
     private final Counters counters;
-    private final StallMonitor stalls;
+    private final StallMonitor stallMonitor;
 
     private final TermState termState;
     private final JobWatcher jobWatcher;
     private final PipelineWriter writer;
     private final SchedulingCycle cycle;
     private final CyclePacer pacer;
-    private final StallInspector inspector;
+    private final StallInspector stallInspector;
 
     private long term = NO_TERM;
     private long lastCycleAt;
@@ -62,7 +62,7 @@
         machines = context.machines();
         jobs = context.jobs();
         counters = context.counters();
-        stalls = context.stalls();
+        stallMonitor = context.stalls();
         termState = TermState.create(context, listener, this::requestCycle);
         jobWatcher = new JobWatcher(
                 loop, context.store(), staleness, jobs, listener::jobsLoaded, this::requestCycle, counters);
@@ -70,7 +70,7 @@
         writer = new PipelineWriter(loop, context.store(), election, jobs, commitListener, counters);
         cycle = new SchedulingCycle(context, termState, writer, autoscaler);
         pacer = new CyclePacer(loop, settings, this::runCycle);
-        inspector = new StallInspector(election, context.catalog(), jobs, jobWatcher, writer);
+        stallInspector = new StallInspector(election, context.catalog(), jobs, jobWatcher, writer);
     }
 
     /** Begins a term: forgets the state of any earlier one and reads the live jobs, which the election has fenced. */
@@ -79,15 +79,15 @@
         // A former leader may have kept leases alive until its keep-alive time had run out.
         TerminationProof proof = new TerminationProof(
                 election.workerFencingToken(), loop.now() + settings.keepAliveMs(), settings.leaseExpiryMs());
-        termState.begin(token, proof);
+        termState.beginTerm(token, proof);
         staleness.reset();
-        writer.begin(token);
+        writer.beginTerm(token);
         jobs.clear();
         machines.clear();
-        cycle.begin();
-        pacer.begin();
+        cycle.beginTerm();
+        pacer.beginTerm();
         lastCycleFailed = false;
-        stalls.begin();
+        stallMonitor.begin();
         jobWatcher.beginTerm(token);
         tick(token);
     }
@@ -95,25 +95,25 @@
     /** Ends the term: nothing is written or read any longer. */
     public void steppedDown() {
         term = NO_TERM;
-        writer.begin(NO_TERM);
-        termState.end();
+        writer.beginTerm(NO_TERM);
+        termState.endTerm();
         jobWatcher.beginTerm(NO_TERM);
         jobs.clear();
     }
 
     /** Time alone can change what is proven, so a cycle runs at least once in a fixed time. */
-    private void tick(long tickTerm) {
-        if (term != tickTerm) {
+    private void tick(long startTerm) {
+        if (term != startTerm) {
             return;
         }
         if (loop.now() - lastCycleAt >= Constants.Cycle.CYCLE_IDLE_MS) {
             requestCycle();
         }
-        stalls.check(() -> inspector.inspect(
+        stallMonitor.check(() -> stallInspector.inspect(
                 machines.schedulable(loop.now(), settings.heartbeatOverdueMs()),
                 lastCycleFailed,
                 cycle.lastPlanFailed()));
-        loop.after(Constants.Cycle.CYCLE_IDLE_MS, () -> tick(tickTerm));
+        loop.after(Constants.Cycle.CYCLE_IDLE_MS, () -> tick(startTerm));
     }
 
     /** Requests a cycle after a change; it runs soon, the later the more the last one had to write. */
@@ -153,7 +153,7 @@
         lastCycleAt = loop.now();
         lastCycleFailed = true;
         try {
-            cycle.decide();
+            cycle.run();
             lastCycleFailed = false;
         } finally {
             counters.count(lastCycleFailed ? Event.CYCLE_FAILED : Event.CYCLE_COMPLETED);
--- a/src/main/java/org/spoolline/scheduler/SchedulingCycle.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulingCycle.java
@@ -11,9 +11,9 @@
     private final JobStepper stepper;
     private final CyclePlanner planner;
     private final MachineEvictions evictions;
-    private final LaunchPreparer launches;
+    private final LaunchPreparer launchPreparer;
     private final PipelineWriter writer;
-    private final CapacityScaler scaler;
+    private final CapacityScaler capacityScaler;
     private final QuotaAudit quotaAudit;
     private int lastWriteCount;
 
@@ -21,20 +21,20 @@
         this.termState = termState;
         this.stepper = new JobStepper(context, termState);
         this.evictions = new MachineEvictions(context.loop(), context.machines(), termState);
-        this.launches = new LaunchPreparer(context, termState.gangLaunches(), termState.images());
+        this.launchPreparer = new LaunchPreparer(context, termState.gangLaunches(), termState.images());
         this.planner = new CyclePlanner(
-                new ClusterSnapshotBuilder(context, termState), launches, evictions, context.counters());
+                new ClusterSnapshotBuilder(context, termState), launchPreparer, evictions, context.counters());
         this.writer = writer;
-        this.scaler = new CapacityScaler(context.loop(), context.jobs(), termState.reservations(), autoscaler);
+        this.capacityScaler = new CapacityScaler(context.loop(), context.jobs(), termState.reservations(), autoscaler);
         this.quotaAudit = new QuotaAudit(context);
     }
 
     /** Begins a term. */
-    void begin() {
-        launches.clear();
-        stepper.begin();
-        evictions.begin();
-        planner.begin();
+    void beginTerm() {
+        launchPreparer.clear();
+        stepper.beginTerm();
+        evictions.beginTerm();
+        planner.beginTerm();
     }
 
     /** True when the last cycle could not make a plan. */
@@ -48,28 +48,28 @@
     }
 
     /** Runs all phases in order. */
-    void decide() {
+    void run() {
         termState.reservations().expire();
-        termState.dirtyAttempts().collect();
+        termState.dirtyAttempts().markOnChangedMachines();
         termState.dependencies().refresh();
-        CycleState state = stepper.stepAll();
+        CycleState state = stepper.stepJobs();
         SchedulingPlan plan = planner.plan(state);
-        evictions.start(plan);
-        launches.prepare(plan.placements(), state);
-        boolean allSent = write(state);
-        scaler.scale(plan, state);
-        notifyOfOrders(allSent);
+        evictions.startEvictions(plan);
+        launchPreparer.prepare(plan.placements(), state);
+        boolean allWritesSent = sendWrites(state);
+        capacityScaler.scale(plan, state);
+        notifyOfOrders(allWritesSent);
         quotaAudit.runIfDue();
     }
 
-    private boolean write(CycleState state) {
+    private boolean sendWrites(CycleState state) {
         lastWriteCount = state.pendingWrites().size();
         return writer.write(state.pendingWrites());
     }
 
     /** Responses whose launches wait for the write budget stay held: the next regular heartbeat is seconds away. */
-    private void notifyOfOrders(boolean allSent) {
-        if (allSent && writer.idle()) {
+    private void notifyOfOrders(boolean allWritesSent) {
+        if (allWritesSent && writer.isIdle()) {
             termState.notifier().notifyOrdersComplete();
         } else {
             termState.notifier().notifyOrdersChanged();
--- a/src/main/java/org/spoolline/scheduler/StallInspector.java
+++ b/src/main/java/org/spoolline/scheduler/StallInspector.java
@@ -34,7 +34,7 @@
     }
 
     /** The present situation, given whether the last scheduling cycle and the last plan failed. */
-    StallMonitor.Situation inspect(List<Machine> schedulable, boolean lastCycleFailed, boolean lastPlanFailed) {
+    StallMonitor.Situation inspect(List<Machine> schedulableMachines, boolean lastCycleFailed, boolean lastPlanFailed) {
         int dependentJobs = 0;
         int readyJobs = 0;
         for (JobEntry entry : jobs.entries()) {
@@ -48,13 +48,14 @@
                 readyJobs++;
             }
         }
-        StallMonitor.Reason reason = reason(readyJobs, schedulable.isEmpty(), lastCycleFailed, lastPlanFailed);
-        double freeCores = schedulable.stream().mapToDouble(this::freeCores).sum();
-        return new StallMonitor.Situation(reason, dependentJobs + readyJobs, schedulable.size(), freeCores);
+        StallMonitor.Reason reason = reason(readyJobs, schedulableMachines.isEmpty(), lastCycleFailed, lastPlanFailed);
+        double freeCores =
+                schedulableMachines.stream().mapToDouble(this::freeCores).sum();
+        return new StallMonitor.Situation(reason, dependentJobs + readyJobs, schedulableMachines.size(), freeCores);
     }
 
     private StallMonitor.Reason reason(
-            int readyJobs, boolean noMachine, boolean lastCycleFailed, boolean lastPlanFailed) {
+            int readyJobs, boolean noSchedulableMachine, boolean lastCycleFailed, boolean lastPlanFailed) {
         if (!election.hasValidLease()) {
             return StallMonitor.Reason.LEASE_EXPIRED;
         }
@@ -70,10 +71,10 @@
         if (readyJobs == 0) {
             return StallMonitor.Reason.UNSATISFIED_DEPENDENCIES;
         }
-        if (noMachine) {
+        if (noSchedulableMachine) {
             return StallMonitor.Reason.NO_SCHEDULABLE_MACHINE;
         }
-        return writer.idle() ? StallMonitor.Reason.NO_CAPACITY_OR_QUOTA : StallMonitor.Reason.WRITES_BLOCKED;
+        return writer.isIdle() ? StallMonitor.Reason.NO_CAPACITY_OR_QUOTA : StallMonitor.Reason.WRITES_BLOCKED;
     }
 
     private double freeCores(Machine machine) {
--- a/src/main/java/org/spoolline/scheduler/TermState.java
+++ b/src/main/java/org/spoolline/scheduler/TermState.java
@@ -55,9 +55,9 @@
     }
 
     /** Begins a term: forgets everything of an earlier one. */
-    void begin(long token, TerminationProof proof) {
+    void beginTerm(long token, TerminationProof proof) {
         reconciler.begin(proof);
-        dependencies.begin(token);
+        dependencies.beginTerm(token);
         gangLaunches.clear();
         notifier.clear();
         reservations.clear();
@@ -65,13 +65,13 @@
     }
 
     /** Ends the term: reads in flight are ignored, and no attempt is to be stopped any longer. */
-    void end() {
-        dependencies.begin(Scheduler.NO_TERM);
+    void endTerm() {
+        dependencies.beginTerm(Scheduler.NO_TERM);
         reconciler.end();
     }
 
     /** Forgets a job that has reached a terminal state. */
-    void forget(String jobId) {
+    void removeJob(String jobId) {
         reconciler.forget(jobId);
         gangLaunches.forget(jobId);
         reservations.forget(jobId);
--- a/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
+++ b/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
@@ -25,17 +25,18 @@
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
 
     /** A transaction that was sent, with the term in which it was; a later term ignores its answer. */
-    private record Sent(long id, Transaction transaction, List<PendingWrite> writes, int operations, long term) {}
+    private record SentTransaction(
+            long id, Transaction transaction, List<PendingWrite> writes, int operations, long term) {}
 
     private final EventLoop loop;
     private final KeyValueStoreClient store;
     private final LeaderElection election;
     private final JobTable jobs;
-    private final RefusedWrites refused;
+    private final RefusedWrites refusedWrites;
     private final PipelineWriter.Listener listener;
     private final WriteLog writeLog;
     private long term;
-    private long transactions;
+    private long lastTransactionId;
     private int inFlight;
 
     TransactionCommitter(
@@ -43,26 +44,26 @@
             KeyValueStoreClient store,
             LeaderElection election,
             JobTable jobs,
-            RefusedWrites refused,
+            RefusedWrites refusedWrites,
             PipelineWriter.Listener listener,
             WriteLog writeLog) {
         this.loop = loop;
         this.store = store;
         this.election = election;
         this.jobs = jobs;
-        this.refused = refused;
+        this.refusedWrites = refusedWrites;
         this.listener = listener;
         this.writeLog = writeLog;
     }
 
     /** Begins the term of this token, or with 0 ends the present one; answers to earlier transactions are ignored. */
-    void begin(long token) {
+    void beginTerm(long token) {
         term = token;
         inFlight = 0;
     }
 
     /** True when no transaction is in flight. */
-    boolean idle() {
+    boolean isIdle() {
         return inFlight == 0;
     }
 
@@ -78,74 +79,74 @@
         batch.addTo(transaction);
         List<PendingWrite> writes = batch.pendingWrites();
         for (PendingWrite write : writes) {
-            jobs.propose(write.entry(), write.next());
-            listener.sent(write);
+            jobs.propose(write.entry(), write.proposed());
+            listener.writeSent(write);
         }
         inFlight++;
-        Sent sent = new Sent(++transactions, transaction, writes, batch.operations(), term);
+        SentTransaction sent = new SentTransaction(++lastTransactionId, transaction, writes, batch.operations(), term);
         writeLog.sent(sent.id(), writes);
-        commit(sent, result -> firstCopyAnswered(sent, result));
+        commit(sent, result -> handleFirstResponse(sent, result));
     }
 
-    private void commit(Sent sent, Consumer<CommitResult> onAnswer) {
+    private void commit(SentTransaction sent, Consumer<CommitResult> onResponse) {
         store.acquireWithDebt(sent.operations());
         store.commit(sent.transaction(), result -> {
             if (term == sent.term()) {
-                onAnswer.accept(result);
+                onResponse.accept(result);
             }
         });
     }
 
-    private void firstCopyAnswered(Sent sent, CommitResult result) {
+    private void handleFirstResponse(SentTransaction sent, CommitResult result) {
         if (result.outcome() == CommitOutcome.UNKNOWN) {
-            resendLater(sent);
+            scheduleResend(sent);
         } else {
-            decided(sent, result);
+            handleOutcome(sent, result);
         }
     }
 
     /** Sends a transaction again, of which an earlier copy may have been applied, or may yet be. */
-    private void resendLater(Sent sent) {
+    private void scheduleResend(SentTransaction sent) {
         LOG.info(
                 "Resending unanswered transaction: transaction={} jobs={}",
                 sent.id(),
                 sent.writes().size());
-        later(sent.term(), () -> commit(sent, result -> laterCopyAnswered(sent, result)));
+        runAfterRetryDelay(sent.term(), () -> commit(sent, result -> handleResendResponse(sent, result)));
     }
 
     /** That this copy was not applied does not mean that no earlier one was. */
-    private void laterCopyAnswered(Sent sent, CommitResult result) {
+    private void handleResendResponse(SentTransaction sent, CommitResult result) {
         switch (result.outcome()) {
-            case UNKNOWN, REFUSED -> resendLater(sent);
+            case UNKNOWN, REFUSED -> scheduleResend(sent);
             case TOO_LARGE -> {
                 // The limits were lowered after an earlier copy was sent: only the stored values show its outcome.
                 inFlight--;
                 sent.writes().forEach(write -> reread(sent, write));
-                listener.transactionDecided(false);
+                listener.outcomeKnown(false);
             }
-            default -> decided(sent, result);
+            default -> handleOutcome(sent, result);
         }
     }
 
-    private void decided(Sent sent, CommitResult result) {
+    private void handleOutcome(SentTransaction sent, CommitResult result) {
         inFlight--;
         switch (result.outcome()) {
             case APPLIED -> handleApplied(sent, result.revision());
             case CONFLICT -> handleConflict(sent, result.failedKeys());
             default -> handleRefusal(sent, result.outcome());
         }
-        listener.transactionDecided(result.outcome() == CommitOutcome.APPLIED);
+        listener.outcomeKnown(result.outcome() == CommitOutcome.APPLIED);
     }
 
-    private void handleApplied(Sent sent, long revision) {
+    private void handleApplied(SentTransaction sent, long revision) {
         List<PendingWrite> writes = sent.writes();
         writeLog.applied(sent.id(), writes, revision);
-        writes.forEach(write -> refused.written(write.jobId()));
-        writes.forEach(write -> listener.applied(write, revision));
+        writes.forEach(write -> refusedWrites.endIsolation(write.jobId()));
+        writes.forEach(write -> listener.writeApplied(write, revision));
     }
 
     /** Jobs with newer values are read again; for the others the failed condition rules out any late copy. */
-    private void handleConflict(Sent sent, List<String> failedKeys) {
+    private void handleConflict(SentTransaction sent, List<String> failedKeys) {
         if (failedKeys.contains(LeaderElection.LEADER_KEY)) {
             election.stepDown("the leader key has changed");
             return;
@@ -153,7 +154,7 @@
         writeLog.conflicted(sent.id(), sent.writes(), failedKeys);
         for (PendingWrite write : sent.writes()) {
             if (failedKeys.contains(JobKeys.live(write.jobId()))) {
-                refused.isolate(write.jobId());
+                refusedWrites.isolate(write.jobId());
             }
         }
         for (PendingWrite write : sent.writes()) {
@@ -165,42 +166,42 @@
         }
     }
 
-    private void handleRefusal(Sent sent, CommitOutcome outcome) {
+    private void handleRefusal(SentTransaction sent, CommitOutcome outcome) {
         List<PendingWrite> writes = sent.writes();
         writeLog.refused(sent.id(), writes, outcome);
         if (outcome == CommitOutcome.TOO_LARGE && writes.size() == 1) {
-            refused.pauseOversized(writes.get(0).jobId());
+            refusedWrites.pauseOversizedJob(writes.get(0).jobId());
         }
         if (outcome != CommitOutcome.REFUSED) {
-            writes.forEach(write -> refused.isolate(write.jobId()));
+            writes.forEach(write -> refusedWrites.isolate(write.jobId()));
         }
         writes.forEach(write -> abandon(sent, write.entry(), outcome));
     }
 
-    private void abandon(Sent sent, JobEntry entry, CommitOutcome outcome) {
+    private void abandon(SentTransaction sent, JobEntry entry, CommitOutcome outcome) {
         writeLog.abandoned(sent.id(), entry, outcome);
         jobs.abandonProposed(entry);
-        listener.abandoned(entry);
+        listener.writeAbandoned(entry);
     }
 
     /** Reads the job's stored value, which shows whether the write was applied. */
-    private void reread(Sent sent, PendingWrite write) {
+    private void reread(SentTransaction sent, PendingWrite write) {
         store.acquireWithDebt(0);
         store.get(JobKeys.live(write.jobId()), read -> {
             if (term != sent.term()) {
                 return;
             }
             if (!read.answered()) {
-                later(sent.term(), () -> reread(sent, write));
+                runAfterRetryDelay(sent.term(), () -> reread(sent, write));
                 return;
             }
             abandon(sent, write.entry(), CommitOutcome.CONFLICT);
-            observe(write, read.value());
-            listener.transactionDecided(false);
+            applyStoredValue(write, read.value());
+            listener.outcomeKnown(false);
         });
     }
 
-    private void observe(PendingWrite write, VersionedValue stored) {
+    private void applyStoredValue(PendingWrite write, VersionedValue stored) {
         String jobId = write.jobId();
         if (stored.exists()) {
             jobs.observe(new WatchEvent(JobKeys.live(jobId), stored.value(), stored.version()), jobId);
@@ -209,9 +210,9 @@
         }
     }
 
-    private void later(long taskTerm, Runnable task) {
+    private void runAfterRetryDelay(long startTerm, Runnable task) {
         loop.after(Constants.Time.RETRY_MS, () -> {
-            if (term == taskTerm) {
+            if (term == startTerm) {
                 task.run();
             }
         });
--- a/src/main/java/org/spoolline/scheduler/WriteLog.java
+++ b/src/main/java/org/spoolline/scheduler/WriteLog.java
@@ -36,8 +36,8 @@
                     write.jobId(),
                     transaction,
                     write.entry().version(),
-                    countMissing(write.next(), write.entry().committed()),
-                    countMissing(write.entry().committed(), write.next()));
+                    countAttemptsNotIn(write.proposed(), write.entry().committed()),
+                    countAttemptsNotIn(write.entry().committed(), write.proposed()));
         }
     }
 
@@ -88,11 +88,11 @@
         }
     }
 
-    private static int countMissing(Pipeline from, Pipeline in) {
-        int missing = 0;
-        for (Attempt attempt : from.attempts()) {
-            missing += in.hasAttempt(attempt) ? 0 : 1;
+    private static int countAttemptsNotIn(Pipeline job, Pipeline other) {
+        int count = 0;
+        for (Attempt attempt : job.attempts()) {
+            count += other.hasAttempt(attempt) ? 0 : 1;
         }
-        return missing;
+        return count;
     }
 }
--- a/src/main/java/org/spoolline/scheduler/WriteRank.java
+++ b/src/main/java/org/spoolline/scheduler/WriteRank.java
@@ -11,7 +11,7 @@
     /** It launches tasks. */
     LAUNCHES,
     /** It only records that some tasks have ended, which can wait so that several of a wide array share one write. */
-    ENDS_ONLY,
+    COMPLETIONS_ONLY,
     /** It was refused before: last, so that it keeps no other from being written. */
     ISOLATED
 }
--- a/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
@@ -18,7 +18,7 @@
 
     /** A machine on which one task of a job of its own has run for a minute. */
     private void machineWith(String name, double cores, double checkpointS) throws Exception {
-        fixture.running(
+        fixture.addMachineRunning(
                         name,
                         job("run-00000" + fixture.machines.size(), 1, cores, checkpointS, Simulation.START_OF_DAY),
                         60)
@@ -26,7 +26,7 @@
     }
 
     private Set<String> evacuated(boolean mayConsolidate) {
-        return fixture.plan(Set.of(), mayConsolidate).evacuated();
+        return fixture.plan(Set.of(), mayConsolidate).machinesToEvacuate();
     }
 
     @Test
--- a/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
+++ b/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
@@ -17,53 +17,53 @@
     private static final long LATE_MS = Constants.Cycle.CYCLE_LATE_MS * 3;
 
     private final FakeEventLoop loop = new FakeEventLoop();
-    private final List<Long> cycles = new ArrayList<>();
-    private final CyclePacer pacer = new CyclePacer(loop, SETTINGS, () -> cycles.add(loop.now()));
+    private final List<Long> cycleTimes = new ArrayList<>();
+    private final CyclePacer pacer = new CyclePacer(loop, SETTINGS, () -> cycleTimes.add(loop.now()));
 
     @Test
-    void requestsBeforeACycleShareIt() {
+    void coalescesRequestsIntoOneCycle() {
         pacer.request(0);
         pacer.request(0);
         loop.runAll();
-        assertEquals(List.of(1_000 + SETTINGS.operator().cycleMinMs()), cycles);
+        assertEquals(List.of(1_000 + SETTINGS.operator().cycleMinMs()), cycleTimes);
     }
 
     @Test
-    void cyclesWidenWithWhatTheLastOneChanged() {
+    void delaysCycleByWriteCountOfLastCycle() {
         pacer.request(Constants.Cycle.CYCLE_FULL_BATCH);
         loop.runAll();
-        assertEquals(List.of(1_000 + SETTINGS.operator().cycleMaxMs()), cycles);
+        assertEquals(List.of(1_000 + SETTINGS.operator().cycleMaxMs()), cycleTimes);
     }
 
     @Test
-    void theFirstCycleOfATermIsDeferredWhileTheLoopIsLateButNotForLong() {
+    void defersFirstCycleOfTermForBoundedTimeWhileLoopIsLate() {
         loop.lateBy(LATE_MS);
-        pacer.begin();
+        pacer.beginTerm();
         pacer.request(0);
         loop.runAll();
-        assertEquals(1, cycles.size());
-        long waited = cycles.get(0) - 1_000;
-        assertTrue(waited >= SETTINGS.workers().heartbeatMs(), "deferred for " + waited);
-        assertTrue(waited < SETTINGS.workers().heartbeatMs() + 10 * LATE_MS, "deferred for " + waited);
+        assertEquals(1, cycleTimes.size());
+        long deferredMs = cycleTimes.get(0) - 1_000;
+        assertTrue(deferredMs >= SETTINGS.workers().heartbeatMs(), "deferred for " + deferredMs);
+        assertTrue(deferredMs < SETTINGS.workers().heartbeatMs() + 10 * LATE_MS, "deferred for " + deferredMs);
     }
 
     @Test
-    void theFirstCycleOfATermRunsAtOnceOnALoopInTime() {
-        pacer.begin();
+    void doesNotDeferFirstCycleOfTermOnPunctualLoop() {
+        pacer.beginTerm();
         pacer.request(0);
         loop.runAll();
-        assertEquals(List.of(1_000 + SETTINGS.operator().cycleMinMs()), cycles);
+        assertEquals(List.of(1_000 + SETTINGS.operator().cycleMinMs()), cycleTimes);
     }
 
     @Test
-    void laterCyclesAreNotDeferred() {
-        pacer.begin();
+    void doesNotDeferLaterCyclesOnLateLoop() {
+        pacer.beginTerm();
         pacer.request(0);
         loop.runAll();
         loop.lateBy(LATE_MS);
-        long before = loop.now();
+        long requestedAt = loop.now();
         pacer.request(0);
         loop.runAll();
-        assertEquals(before + SETTINGS.operator().cycleMinMs() + LATE_MS, cycles.get(1));
+        assertEquals(requestedAt + SETTINGS.operator().cycleMinMs() + LATE_MS, cycleTimes.get(1));
     }
 }
--- a/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
+++ b/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
@@ -29,16 +29,16 @@
     private final FakeEventLoop loop = new FakeEventLoop();
     private final JobTable jobs = new JobTable();
     /** Values in the key-value store by key. */
-    private final Map<String, ObjectNode> stored = new HashMap<>();
+    private final Map<String, ObjectNode> storedValues = new HashMap<>();
 
     private final KeyValueStoreClient store = new KeyValueStoreClient(
             loop,
-            (target, method, path, body, timeoutMs, done) -> done.accept(answer(path)),
+            (target, method, path, body, timeoutMs, done) -> done.accept(respond(path)),
             new Simulation(1).settings("node-0"));
     private final DependencyTracker dependencies = new DependencyTracker(loop, store, jobs, () -> {});
 
-    private Http.Reply answer(String path) {
-        ObjectNode value = stored.get(path.substring("/keys/".length()));
+    private Http.Reply respond(String path) {
+        ObjectNode value = storedValues.get(path.substring("/keys/".length()));
         if (value == null) {
             return new Http.Reply(404, new byte[0]);
         }
@@ -47,13 +47,13 @@
         return new Http.Reply(200, Json.bytes(body));
     }
 
-    private Pipeline job(int number, String urgency, int... needed) throws Exception {
+    private Pipeline job(int number, String urgency, int... dependencyNumbers) throws Exception {
         ObjectNode body =
                 SubmissionCodec.encode(SchedulerFixture.job(jobId(number), "blue", "batch", urgency, 1, 1, 0, 0)
                         .spec());
         ArrayNode jobIds = body.putArray("waitsOn");
-        for (int other : needed) {
-            jobIds.add(jobId(other));
+        for (int dependencyNumber : dependencyNumbers) {
+            jobIds.add(jobId(dependencyNumber));
         }
         return Pipeline.accept(SubmissionCodec.parse(body), body, 0);
     }
@@ -62,68 +62,66 @@
         return String.format("run-%06d", number);
     }
 
-    private Pipeline live(Pipeline job) {
+    private Pipeline addLiveJob(Pipeline job) {
         jobs.observe(new WatchEvent("job/" + job.jobId(), job.encode(), 1), job.jobId());
         return job;
     }
 
     @Test
-    void aJobIsReleasedOnceEveryRecordWasReadAndSaysDone() throws Exception {
-        dependencies.begin(1);
-        live(job(1, "standard"));
-        Pipeline waiting = live(job(3, "standard", 1, 2));
+    void releasesJobOnlyAfterReadingDoneRecordsOfAllDependencies() throws Exception {
+        dependencies.beginTerm(1);
+        addLiveJob(job(1, "standard"));
+        Pipeline waiting = addLiveJob(job(3, "standard", 1, 2));
         dependencies.refresh();
-        assertEquals(DependencyTracker.Verdict.UNSATISFIED, dependencies.verdictOf(waiting));
-        stored.put("final/" + jobId(2), new TerminalRecord(true, 1).encode());
+        assertEquals(DependencyTracker.Status.UNSATISFIED, dependencies.statusOf(waiting));
+        storedValues.put("final/" + jobId(2), new TerminalRecord(true, 1).encode());
         jobs.remove(jobId(1), 2);
         dependencies.refresh();
         assertEquals(
-                DependencyTracker.Verdict.UNSATISFIED,
-                dependencies.verdictOf(waiting),
-                "no record of the first one yet");
-        stored.put("final/" + jobId(1), new TerminalRecord(true, 1).encode());
+                DependencyTracker.Status.UNSATISFIED, dependencies.statusOf(waiting), "no record of the first one yet");
+        storedValues.put("final/" + jobId(1), new TerminalRecord(true, 1).encode());
         loop.runTo(loop.now() + 2_000);
         dependencies.refresh();
         dependencies.refresh();
-        assertEquals(DependencyTracker.Verdict.SATISFIED, dependencies.verdictOf(waiting));
-        Pipeline released = dependencies.step(waiting);
+        assertEquals(DependencyTracker.Status.SATISFIED, dependencies.statusOf(waiting));
+        Pipeline released = dependencies.applyStatus(waiting);
         assertEquals(false, released.hasUnsatisfiedDependencies());
         assertEquals(1, released.unplacedTaskCount());
     }
 
     @Test
-    void aRecordThatSaysCancelledCancelsTheDependent() throws Exception {
-        dependencies.begin(1);
-        Pipeline waiting = live(job(3, "standard", 1));
-        stored.put("final/" + jobId(1), new TerminalRecord(false, 0).encode());
+    void cancelsDependentOfCancelledRecord() throws Exception {
+        dependencies.beginTerm(1);
+        Pipeline waiting = addLiveJob(job(3, "standard", 1));
+        storedValues.put("final/" + jobId(1), new TerminalRecord(false, 0).encode());
         dependencies.refresh();
         dependencies.refresh();
-        assertEquals(DependencyTracker.Verdict.CANCELLED, dependencies.verdictOf(waiting));
-        assertTrue(dependencies.step(waiting).cancelledWithoutAttempts());
+        assertEquals(DependencyTracker.Status.CANCELLED, dependencies.statusOf(waiting));
+        assertTrue(dependencies.applyStatus(waiting).cancelledWithoutAttempts());
     }
 
     /** Level by level, a chain would be cancelled long after cancel_s. */
     @Test
-    void aChainOfAnyLengthIsCancelledInOneCycle() throws Exception {
-        dependencies.begin(1);
+    void cancelsLongDependencyChainInOneCycle() throws Exception {
+        dependencies.beginTerm(1);
         Pipeline root = job(0, "standard");
         root.cancel();
-        live(root);
+        addLiveJob(root);
         Pipeline last = root;
         for (int i = 1; i <= LONG_CHAIN; i++) {
-            last = live(job(i, "standard", i - 1));
+            last = addLiveJob(job(i, "standard", i - 1));
         }
         dependencies.refresh();
-        assertEquals(DependencyTracker.Verdict.CANCELLED, dependencies.verdictOf(last));
+        assertEquals(DependencyTracker.Status.CANCELLED, dependencies.statusOf(last));
     }
 
     @Test
-    void aJobHasThePriorityOfWhoeverNeedsItThroughOthersToo() throws Exception {
-        dependencies.begin(1);
-        live(job(1, "best_effort"));
-        live(job(2, "best_effort", 1));
-        live(job(3, "standard", 1));
-        live(job(4, "urgent", 2));
+    void inheritsHighestPriorityOfTransitiveDependents() throws Exception {
+        dependencies.beginTerm(1);
+        addLiveJob(job(1, "best_effort"));
+        addLiveJob(job(2, "best_effort", 1));
+        addLiveJob(job(3, "standard", 1));
+        addLiveJob(job(4, "urgent", 2));
         dependencies.refresh();
         assertEquals(
                 Map.of(jobId(1), Submission.Priority.URGENT, jobId(2), Submission.Priority.URGENT),
@@ -131,20 +129,22 @@
     }
 
     @Test
-    void aNeededJobIsPlacedBeforeOthersOfAHigherPriorityOfTheirOwn() throws Exception {
+    void placesJobByInheritedPriority() throws Exception {
         SchedulerFixture fixture = new SchedulerFixture(9);
-        Pipeline needed =
+        Pipeline dependency =
                 SchedulerFixture.job(jobId(7), "blue", "batch", "best_effort", 1, 8, 0, Simulation.START_OF_DAY);
         Pipeline other = SchedulerFixture.job(jobId(6), "blue", "batch", "standard", 1, 8, 0, Simulation.START_OF_DAY);
-        fixture.running(
+        fixture.addMachineRunning(
                 "m", SchedulerFixture.job(jobId(5), "blue", "batch", "standard", 1, 1, 0, Simulation.START_OF_DAY), 1);
         fixture.jobs.add(other);
-        fixture.jobs.add(needed);
-        Set<String> both = Set.of(needed.jobId(), other.jobId());
+        fixture.jobs.add(dependency);
+        Set<String> placeableJobs = Set.of(dependency.jobId(), other.jobId());
         assertEquals(
-                Set.of(other.jobId()), fixture.plan(both, false).placements().keySet());
-        fixture.inherited.put(needed.jobId(), Submission.Priority.URGENT);
+                Set.of(other.jobId()),
+                fixture.plan(placeableJobs, false).placements().keySet());
+        fixture.inheritedPriorities.put(dependency.jobId(), Submission.Priority.URGENT);
         assertEquals(
-                Set.of(needed.jobId()), fixture.plan(both, false).placements().keySet());
+                Set.of(dependency.jobId()),
+                fixture.plan(placeableJobs, false).placements().keySet());
     }
 }
--- a/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
+++ b/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
@@ -41,29 +41,29 @@
     private final JobTable jobs = new JobTable();
     private final List<String> outcomes = new ArrayList<>();
     /** Bodies of the transactions that were sent. */
-    private final List<String> sent = new ArrayList<>();
+    private final List<String> sentBodies = new ArrayList<>();
     /** Statuses with which transactions are answered in turn; afterwards they are applied. */
-    private final Deque<Integer> statuses = new ArrayDeque<>();
+    private final Deque<Integer> commitStatuses = new ArrayDeque<>();
 
-    private final Map<String, ObjectNode> stored = new LinkedHashMap<>();
+    private final Map<String, ObjectNode> storedValues = new LinkedHashMap<>();
     private final KeyValueStoreClient store = new KeyValueStoreClient(
             loop,
             (target, method, path, body, timeoutMs, done) ->
-                    done.accept(path.equals("/commit") ? committed(body) : read(path)),
+                    done.accept(path.equals("/commit") ? respondToCommit(body) : respondToRead(path)),
             SETTINGS);
-    private final LeaderElection election =
-            new LeaderElection(loop, new Random(1), store, SETTINGS, new IgnoredLeadership(), new Counters(loop));
+    private final LeaderElection election = new LeaderElection(
+            loop, new Random(1), store, SETTINGS, new IgnoringElectionListener(), new Counters(loop));
     private final PipelineWriter writer =
-            new PipelineWriter(loop, store, election, jobs, new RecordedOutcomes(), new Counters(loop));
+            new PipelineWriter(loop, store, election, jobs, new OutcomeRecorder(), new Counters(loop));
 
-    private Http.Reply committed(byte[] body) {
-        sent.add(new String(body, StandardCharsets.UTF_8));
-        int status = statuses.isEmpty() ? 200 : statuses.remove();
+    private Http.Reply respondToCommit(byte[] body) {
+        sentBodies.add(new String(body, StandardCharsets.UTF_8));
+        int status = commitStatuses.isEmpty() ? 200 : commitStatuses.remove();
         return new Http.Reply(status, Json.bytes(Json.object().put("ledger", 7)));
     }
 
-    private Http.Reply read(String path) {
-        ObjectNode value = stored.get(path.substring("/keys/".length()));
+    private Http.Reply respondToRead(String path) {
+        ObjectNode value = storedValues.get(path.substring("/keys/".length()));
         if (value == null) {
             return new Http.Reply(404, new byte[0]);
         }
@@ -72,7 +72,7 @@
         return new Http.Reply(200, Json.bytes(body));
     }
 
-    private static final class IgnoredLeadership implements LeaderElection.Listener {
+    private static final class IgnoringElectionListener implements LeaderElection.Listener {
         @Override
         public void elected(long token, long keyVersion) {}
 
@@ -83,32 +83,32 @@
         public void steppedDown(String why) {}
     }
 
-    private final class RecordedOutcomes implements PipelineWriter.Listener {
+    private final class OutcomeRecorder implements PipelineWriter.Listener {
         @Override
-        public void sent(PendingWrite write) {}
+        public void writeSent(PendingWrite write) {}
 
         @Override
-        public void applied(PendingWrite write, long revision) {
+        public void writeApplied(PendingWrite write, long revision) {
             outcomes.add("applied " + write.jobId());
             jobs.commitProposed(write.entry(), revision);
         }
 
         @Override
-        public void abandoned(JobEntry entry) {
+        public void writeAbandoned(JobEntry entry) {
             outcomes.add("abandoned " + entry.committed().jobId());
         }
 
         @Override
-        public void transactionDecided(boolean applied) {
-            outcomes.add("decided " + applied);
+        public void outcomeKnown(boolean applied) {
+            outcomes.add("outcome " + applied);
         }
     }
 
     @BeforeEach
-    void beginTermWithAFullBudget() {
+    void beginTermWithFullWriteBudget() {
         store.setLeader(true);
         loop.standStill(60_000);
-        writer.begin(TERM);
+        writer.beginTerm(TERM);
     }
 
     /** A write that launches the first task of a live job. */
@@ -117,9 +117,9 @@
             Pipeline job = SchedulerFixture.job(jobId, "blue", "batch", urgency, 1, 1, 0, 0);
             jobs.observe(new WatchEvent(JobKeys.live(jobId), job.encode(), 1), jobId);
         }
-        Pipeline next = jobs.get(jobId).committed().copy();
-        next.addAttempt(new Attempt(0, 1, "m-1", 1));
-        return new PendingWrite(jobs.get(jobId), next);
+        Pipeline proposed = jobs.get(jobId).committed().copy();
+        proposed.addAttempt(new Attempt(0, 1, "m-1", 1));
+        return new PendingWrite(jobs.get(jobId), proposed);
     }
 
     private boolean write(PendingWrite... writes) {
@@ -139,77 +139,77 @@
     }
 
     @Test
-    void urgentLaunchesPrecedeOthersInOneTransaction() throws Exception {
+    void ordersUrgentLaunchesFirstInTransaction() throws Exception {
         assertTrue(write(launch("run-000001", "standard"), launch("run-000002", "urgent")));
-        assertEquals(1, sent.size());
-        assertEquals(List.of("job/run-000002", "job/run-000001"), changedKeys(sent.get(0)));
-        assertEquals(List.of("applied run-000002", "applied run-000001", "decided true"), outcomes);
-        assertTrue(writer.idle());
+        assertEquals(1, sentBodies.size());
+        assertEquals(List.of("job/run-000002", "job/run-000001"), changedKeys(sentBodies.get(0)));
+        assertEquals(List.of("applied run-000002", "applied run-000001", "outcome true"), outcomes);
+        assertTrue(writer.isIdle());
     }
 
     @Test
-    void anUnansweredTransactionIsSentAgainUnchangedUntilItIsDecided() throws Exception {
-        statuses.addAll(List.of(0, 503, 0));
+    void resendsUnansweredTransactionUnchangedUntilOutcomeIsKnown() throws Exception {
+        commitStatuses.addAll(List.of(0, 503, 0));
         write(launch("run-000001", "standard"));
-        assertFalse(writer.idle());
+        assertFalse(writer.isIdle());
         loop.runAll();
-        assertEquals(4, sent.size());
-        assertEquals(List.of(sent.get(0), sent.get(0), sent.get(0), sent.get(0)), sent);
-        assertEquals(List.of("applied run-000001", "decided true"), outcomes);
+        assertEquals(4, sentBodies.size());
+        assertEquals(List.of(sentBodies.get(0), sentBodies.get(0), sentBodies.get(0), sentBodies.get(0)), sentBodies);
+        assertEquals(List.of("applied run-000001", "outcome true"), outcomes);
     }
 
     @Test
-    void aTransactionRefusedAtOnceIsAbandoned() throws Exception {
-        statuses.add(503);
+    void abandonsTransactionRefusedOnFirstSend() throws Exception {
+        commitStatuses.add(503);
         write(launch("run-000001", "standard"));
-        assertTrue(writer.idle());
-        assertEquals(List.of("abandoned run-000001", "decided false"), outcomes);
+        assertTrue(writer.isIdle());
+        assertEquals(List.of("abandoned run-000001", "outcome false"), outcomes);
         assertFalse(jobs.get("run-000001").inFlight());
     }
 
     @Test
-    void theStoredValueShowsWhatBecameOfAnUnansweredTransactionThatHasBecomeTooLarge() throws Exception {
+    void rereadsStoredValueWhenResendIsTooLarge() throws Exception {
         PendingWrite write = launch("run-000001", "standard");
-        stored.put(JobKeys.live("run-000001"), write.next().encode());
-        statuses.addAll(List.of(0, 400));
+        storedValues.put(JobKeys.live("run-000001"), write.proposed().encode());
+        commitStatuses.addAll(List.of(0, 400));
         write(write);
         loop.runAll();
-        assertEquals(2, sent.size());
-        assertEquals(List.of("abandoned run-000001", "decided false", "decided false"), outcomes);
+        assertEquals(2, sentBodies.size());
+        assertEquals(List.of("abandoned run-000001", "outcome false", "outcome false"), outcomes);
         assertEquals(9, jobs.get("run-000001").version());
         assertEquals(1, jobs.get("run-000001").committed().attempts().size());
     }
 
     @Test
-    void jobsOfATransactionThatIsTooLargeAreWrittenAlone() throws Exception {
-        statuses.add(400);
+    void isolatesJobsOfTooLargeTransaction() throws Exception {
+        commitStatuses.add(400);
         write(launch("run-000001", "standard"), launch("run-000002", "standard"));
-        assertEquals(List.of("abandoned run-000001", "abandoned run-000002", "decided false"), outcomes);
+        assertEquals(List.of("abandoned run-000001", "abandoned run-000002", "outcome false"), outcomes);
         loop.standStill(60_000);
         assertTrue(write(launch("run-000001", "standard"), launch("run-000002", "standard")));
-        assertEquals(List.of("job/run-000001"), changedKeys(sent.get(1)));
-        assertEquals(List.of("job/run-000002"), changedKeys(sent.get(2)));
+        assertEquals(List.of("job/run-000001"), changedKeys(sentBodies.get(1)));
+        assertEquals(List.of("job/run-000002"), changedKeys(sentBodies.get(2)));
     }
 
     @Test
-    void aJobWhoseValueAloneIsTooLargeIsPaused() throws Exception {
-        statuses.add(400);
+    void pausesJobWithTooLargeValue() throws Exception {
+        commitStatuses.add(400);
         write(launch("run-000001", "standard"));
         assertFalse(write(launch("run-000001", "standard")));
-        assertEquals(1, sent.size());
+        assertEquals(1, sentBodies.size());
         loop.standStill(Constants.Cycle.OVERSIZED_VALUE_BACKOFF_MS);
         assertTrue(write(launch("run-000001", "standard")));
-        assertEquals(2, sent.size());
+        assertEquals(2, sentBodies.size());
     }
 
     @Test
-    void answersToTransactionsOfAnEarlierTermAreIgnored() throws Exception {
-        statuses.add(0);
+    void ignoresResponsesToTransactionsOfEarlierTerm() throws Exception {
+        commitStatuses.add(0);
         write(launch("run-000001", "standard"));
-        writer.begin(TERM + 1);
+        writer.beginTerm(TERM + 1);
         loop.runAll();
-        assertEquals(1, sent.size());
+        assertEquals(1, sentBodies.size());
         assertEquals(List.of(), outcomes);
-        assertTrue(writer.idle());
+        assertTrue(writer.isIdle());
     }
 }
--- a/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
@@ -19,7 +19,8 @@
 
     /** A machine filled by a task with checkpoints that has run for so long. */
     private void filled(String name, double ranS) throws Exception {
-        fixture.running(name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
+        fixture.addMachineRunning(
+                name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
     }
 
     private Preemption preemptionFor(Pipeline job) {
--- a/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
+++ b/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
@@ -56,7 +56,7 @@
     }
 
     /** A machine on which the job's only task has run for so long. */
-    Machine running(String name, Pipeline job, double ranS) {
+    Machine addMachineRunning(String name, Pipeline job, double runtimeS) {
         Machine machine = new Machine(name, type.name(), "a", false, 0);
         job.addAttempt(new Attempt(0, 1, name, 1));
         machine.accept(
@@ -72,26 +72,26 @@
                         OptionalDouble.empty(),
                         List.of(new TaskStatus(job.jobId(), 0, 1, TaskStatus.Phase.RUNNING, null, false))),
                 LEASE_MS,
-                NOW - (long) (ranS * 1000));
+                NOW - (long) (runtimeS * 1000));
         machines.put(name, machine);
         jobs.add(job);
         return machine;
     }
 
     /** By job id: the highest priority among the jobs that depend on it. */
-    final Map<String, Submission.Priority> inherited = new HashMap<>();
+    final Map<String, Submission.Priority> inheritedPriorities = new HashMap<>();
 
     /** The plan a minute after the start of the day. */
-    SchedulingPlan plan(Set<String> placeable, boolean mayConsolidate) {
+    SchedulingPlan plan(Set<String> placeableJobs, boolean mayConsolidate) {
         return PlacementPlanner.plan(new ClusterSnapshot(
                 jobs,
                 Map.of(),
-                placeable,
+                placeableJobs,
                 machines,
                 List.copyOf(machines.values()),
                 Map.of(),
                 Set.of(),
-                inherited,
+                inheritedPriorities,
                 Map.of(type.name(), type),
                 settings,
                 mayConsolidate,
