--- a/src/main/java/org/spoolline/scheduler/CycleListener.java
+++ b/src/main/java/org/spoolline/scheduler/CycleListener.java
@@ -2,22 +2,23 @@
 
 import java.util.Set;
 
-/** Receives the results of scheduling cycles that concern workers. Called on the event loop. */
+/** Receives the results of scheduling cycles that affect workers. Its methods are called on the event loop. */
 public interface CycleListener {
-    /** All live jobs were read under the present fencing token. */
+    /** Called when this leader has read all live jobs under its fencing token. */
     void jobsLoaded();
 
     /**
-     * Orders may have changed while some writes are still pending.
+     * Called when orders for machines may have changed while writes are still deferred or in flight.
      *
-     * @param machines machines with new orders since the last call, possibly none
+     * @param machines names of the machines whose orders changed since the previous call of either method; may be empty
      */
     void ordersChanged(Set<String> machines);
 
     /**
-     * Orders may have changed and no write is pending, so no further launch is to be expected before the next cycle.
+     * Called when orders for machines may have changed and no write is deferred or in flight, so no further launch is
+     * stored before the next cycle.
      *
-     * @param machines machines with new orders since the last call, possibly none
+     * @param machines names of the machines whose orders changed since the previous call of either method; may be empty
      */
     void ordersComplete(Set<String> machines);
 }
--- a/src/main/java/org/spoolline/scheduler/CyclePacer.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePacer.java
@@ -5,9 +5,11 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Decides when the next scheduling cycle runs: the later, the more values the last one had to write. The first cycle of a
- * term is deferred while the event loop is late, for up to one heartbeat interval: the events that are late then include
- * the first heartbeats of workers whose leases expire, and without them a cycle knows of no machine.
+ * Schedules scheduling cycles. The delay of a cycle grows with the number of values that the last cycle had to write.
+ *
+ * <p>While the event loop runs late, the first cycle of a term is deferred for up to one heartbeat interval. The
+ * delayed events then include the first heartbeats of workers whose leases are about to expire, and a cycle that runs
+ * before them would know no machine.
  */
 final class CyclePacer {
     private final EventLoop loop;
@@ -23,13 +25,13 @@
         this.deferralDeadline = loop.now();
     }
 
-    /** Begins a term. */
+    /** Starts a term, whose first cycle may be deferred for up to one heartbeat interval. */
     void beginTerm() {
         deferralDeadline = loop.now() + settings.workers().heartbeatMs();
     }
 
     /**
-     * Schedules a cycle, unless one is scheduled already.
+     * Schedules a cycle unless one is already scheduled.
      *
      * @param lastWriteCount number of values that the last cycle had to write
      */
--- a/src/main/java/org/spoolline/scheduler/CyclePlanner.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePlanner.java
@@ -8,7 +8,7 @@
 import org.spoolline.metrics.Counters;
 import org.spoolline.metrics.Event;
 
-/** Makes the plan of a scheduling cycle. Exception boundary: a failure of the planner results in an empty plan. */
+/** Plans a scheduling cycle. Exception boundary: when the planner fails, the cycle continues with an empty plan. */
 final class CyclePlanner {
     private static final Logger LOG = LoggerFactory.getLogger(CyclePlanner.class);
     private static final SchedulingPlan EMPTY_PLAN =
@@ -31,17 +31,20 @@
         this.counters = counters;
     }
 
-    /** Begins a term. */
+    /** Clears the state of the previous term. */
     void beginTerm() {
         lastPlanFailed = false;
     }
 
-    /** True when the last plan failed. */
+    /** True when the planner failed in the last cycle. */
     boolean lastPlanFailed() {
         return lastPlanFailed;
     }
 
-    /** Plans placements, preemptions and evacuations; tasks that have ended are written even when planning fails. */
+    /**
+     * Plans placements, preemptions and evacuations. Returns an empty plan when the planner fails, so that the cycle
+     * still writes the tasks that have ended.
+     */
     SchedulingPlan plan(CycleState state) {
         try {
             ClusterSnapshot snapshot = snapshotBuilder.build(
--- a/src/main/java/org/spoolline/scheduler/DirtyAttempts.java
+++ b/src/main/java/org/spoolline/scheduler/DirtyAttempts.java
@@ -11,13 +11,14 @@
 import org.spoolline.pipeline.Attempt;
 
 /**
- * The attempts that have to be reconciled: their machine has reported a change, and no write of their job has covered it
- * since. An attempt stays dirty until its job is written or turns out to be unaffected.
+ * Attempts that have to be reconciled because a heartbeat of their machine reported a change. An attempt stays dirty
+ * until a write of its job is sent or the reconciliation finds that the job does not change. If the write is abandoned,
+ * all attempts of the job become dirty again.
  */
 final class DirtyAttempts {
     private final JobTable jobs;
     private final ImageTracker images;
-    /** Machines whose heartbeats have shown a change since the last cycle. */
+    /** Machines whose heartbeats reported a change since the last cycle. */
     private final Set<Machine> changedMachines = new LinkedHashSet<>();
 
     private final Map<String, Set<Attempt>> byJob = new HashMap<>();
@@ -27,18 +28,21 @@
         this.images = images;
     }
 
-    /** Forgets everything of an earlier term. */
+    /** Clears the state of the previous term. */
     void clear() {
         changedMachines.clear();
         byJob.clear();
     }
 
-    /** Records that a heartbeat of the machine has shown a change. */
+    /** Records that a heartbeat reported a change on the machine. */
     void machineChanged(Machine machine) {
         changedMachines.add(machine);
     }
 
-    /** Marks the attempts on all machines that have changed since the last call. */
+    /**
+     * Marks as dirty all attempts on the machines that changed since the previous call, and updates their cached
+     * images.
+     */
     void markOnChangedMachines() {
         for (Machine machine : changedMachines) {
             jobs.attemptsOn(machine.name()).forEach((attemptId, attempt) -> {
@@ -49,17 +53,17 @@
         changedMachines.clear();
     }
 
-    /** The job's dirty attempts. */
+    /** Returns the job's dirty attempts; empty when there are none. */
     Set<Attempt> attemptsOf(String jobId) {
         return byJob.getOrDefault(jobId, Set.of());
     }
 
-    /** Marks these attempts of the job. */
+    /** Marks the given attempts of the job as dirty. */
     void markDirty(String jobId, Collection<Attempt> attempts) {
         getOrCreate(jobId).addAll(attempts);
     }
 
-    /** Marks no attempt of the job as dirty any longer. */
+    /** Marks all attempts of the job as clean. */
     void markClean(String jobId) {
         byJob.remove(jobId);
     }
--- a/src/main/java/org/spoolline/scheduler/JobStepper.java
+++ b/src/main/java/org/spoolline/scheduler/JobStepper.java
@@ -14,7 +14,10 @@
 import org.spoolline.reconcile.AttemptReconciler;
 import org.spoolline.reconcile.EarlierDecisions;
 
-/** The part of a scheduling cycle that steps each job by its dependencies and by what is proven about its attempts. */
+/**
+ * The phase of a scheduling cycle that computes the new value of each live job, from the state of its dependencies and
+ * from what heartbeats and lease expiry show about its attempts.
+ */
 final class JobStepper {
     private final EventLoop loop;
     private final JobTable jobs;
@@ -35,12 +38,12 @@
         this.dirtyAttempts = termState.dirtyAttempts();
     }
 
-    /** Begins a term: the first full reconciliation is due one interval from now. */
+    /** Starts a term; its first full reconciliation is due after {@link Constants.Cycle#FULL_RECONCILE_MS}. */
     void beginTerm() {
         lastFullReconcileAt = loop.now();
     }
 
-    /** Steps every live job. */
+    /** Computes the new value of each live job; returns the jobs to plan for and the values to write. */
     CycleState stepJobs() {
         boolean fullReconcile = startFullReconcileIfDue();
         CycleState state = new CycleState();
@@ -50,7 +53,10 @@
         return state;
     }
 
-    /** The passing of time is a proof too (of lease expiry), and no heartbeat marks it: every attempt has its turn. */
+    /**
+     * Returns true, and restarts the interval, when this cycle has to reconcile all attempts. Lease expiry also shows
+     * that an attempt has terminated, but no heartbeat marks such an attempt as dirty.
+     */
     private boolean startFullReconcileIfDue() {
         boolean due = loop.now() - lastFullReconcileAt >= Constants.Cycle.FULL_RECONCILE_MS;
         if (due) {
@@ -111,7 +117,10 @@
         };
     }
 
-    /** A gang and a job with attempts to be stopped depend on more than the status of single attempts. */
+    /**
+     * True when all attempts of the job have to be reconciled together: for gangs, cancelled jobs and jobs with
+     * attempts to stop, the new value does not depend on the dirty attempts alone.
+     */
     private boolean needsFullReconcile(JobEntry entry) {
         return entry.committed().spec().gang()
                 || entry.cancelled()
--- a/src/main/java/org/spoolline/scheduler/Scheduler.java
+++ b/src/main/java/org/spoolline/scheduler/Scheduler.java
@@ -19,13 +19,13 @@
 import org.spoolline.reconcile.TerminationProof;
 
 /**
- * Runs the leader's scheduling cycles from the election to the end of the term. Each cycle takes everything that has
- * become known since the last one; cycles widen with the number of values that they change.
+ * Runs the leader's scheduling cycles from its election to the end of its term. Each cycle processes all changes since
+ * the previous cycle. The interval between cycles grows with the number of values that the last cycle had to write.
  *
  * <p>All methods are called on the event loop.
  */
 public final class Scheduler implements DesiredState {
-    /** What {@link #term} holds while this node does not lead. */
+    /** Value of {@link #term} while this node is not the leader. */
     static final long NO_TERM = 0;
 
     private final EventLoop loop;
@@ -44,15 +44,17 @@
     private final CyclePacer pacer;
     private final StallInspector stallInspector;
 
+    /** Fencing token of the current term. */
     private long term = NO_TERM;
+
     private long lastCycleAt;
     private boolean lastCycleFailed;
 
     /**
-     * Creates a scheduler that does nothing before {@link #elected}.
+     * Creates a scheduler, which runs no cycle until {@link #elected} is called.
      *
-     * @param autoscaler receives the demand that no machine can serve
-     * @param listener   is notified of new orders
+     * @param autoscaler scales machines by the demand that the plan could not place
+     * @param listener   is notified when the jobs are loaded and when machines have new orders
      */
     public Scheduler(SchedulerContext context, Autoscaler autoscaler, CycleListener listener) {
         loop = context.loop();
@@ -73,10 +75,16 @@
         stallInspector = new StallInspector(election, context.catalog(), jobs, jobWatcher, writer);
     }
 
-    /** Begins a term: forgets the state of any earlier one and reads the live jobs, which the election has fenced. */
+    /**
+     * Starts a term after this node was elected: clears the state of the previous term and starts to read the live
+     * jobs. The election has already fenced off writes of former leaders.
+     *
+     * @param token fencing token of the new term
+     */
     public void elected(long token) {
         term = token;
-        // A former leader may have kept leases alive until its keep-alive time had run out.
+        // A former leader may have renewed workers' leases until its keep-alive time ended, so this leader can infer
+        // termination from lease expiry only one full lease after that.
         TerminationProof proof = new TerminationProof(
                 election.workerFencingToken(), loop.now() + settings.keepAliveMs(), settings.leaseExpiryMs());
         termState.beginTerm(token, proof);
@@ -92,7 +100,7 @@
         tick(token);
     }
 
-    /** Ends the term: nothing is written or read any longer. */
+    /** Ends the term: the scheduler sends no further writes or reads and ignores responses still in flight. */
     public void steppedDown() {
         term = NO_TERM;
         writer.beginTerm(NO_TERM);
@@ -101,7 +109,10 @@
         jobs.clear();
     }
 
-    /** Time alone can change what is proven, so a cycle runs at least once in a fixed time. */
+    /**
+     * Requests a cycle when none has run for {@link Constants.Cycle#CYCLE_IDLE_MS}, because lease expiry and other
+     * timeouts change the state of attempts without any event.
+     */
     private void tick(long startTerm) {
         if (term != startTerm) {
             return;
@@ -116,14 +127,17 @@
         loop.after(Constants.Cycle.CYCLE_IDLE_MS, () -> tick(startTerm));
     }
 
-    /** Requests a cycle after a change; it runs soon, the later the more the last one had to write. */
+    /**
+     * Requests a cycle after a change, or does nothing while this node is not the leader. The delay grows with the
+     * number of values that the last cycle had to write.
+     */
     public void requestCycle() {
         if (term != NO_TERM) {
             pacer.request(cycle.lastWriteCount());
         }
     }
 
-    /** Records that a heartbeat of the machine has shown a change. */
+    /** Records that a heartbeat reported a change on the machine, and requests a cycle. */
     public void machineChanged(Machine machine) {
         if (term != NO_TERM) {
             termState.dirtyAttempts().machineChanged(machine);
--- a/src/main/java/org/spoolline/scheduler/SchedulerContext.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulerContext.java
@@ -12,18 +12,18 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * What the scheduler shares with the other components of a controller node.
+ * The components of a controller node that the scheduler uses.
  *
  * @param loop      the event loop on which every method of the scheduler runs
  * @param settings  settings of the node
  * @param store     client of the key-value store
- * @param election  the node's part in the leader election
- * @param staleness bound on the age of the leader's view of the jobs
+ * @param election  leader election of this node
+ * @param staleness bound on how stale the leader's view of the jobs may be
  * @param catalog   machine types that the cloud offers
- * @param machines  machines known to the leader
- * @param jobs      live jobs known to the leader
+ * @param machines  machines that the leader knows
+ * @param jobs      live jobs that the leader knows
  * @param counters  event counters
- * @param stalls    monitor of a leader that places nothing
+ * @param stalls    monitor that logs why a leader places no tasks while jobs wait
  */
 public record SchedulerContext(
         EventLoop loop,
--- a/src/main/java/org/spoolline/scheduler/SchedulingCycle.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulingCycle.java
@@ -3,8 +3,8 @@
 import org.spoolline.autoscaler.Autoscaler;
 
 /**
- * One scheduling cycle: takes everything that has become known since the last one, steps the jobs, places what is ready
- * and writes every changed value once.
+ * One scheduling cycle: processes the changes since the previous cycle, reconciles the jobs, places the tasks that are
+ * ready to run and writes each changed job once.
  */
 final class SchedulingCycle {
     private final TermState termState;
@@ -29,7 +29,7 @@
         this.quotaAudit = new QuotaAudit(context);
     }
 
-    /** Begins a term. */
+    /** Clears the state of the previous term. */
     void beginTerm() {
         launchPreparer.clear();
         stepper.beginTerm();
@@ -37,17 +37,17 @@
         planner.beginTerm();
     }
 
-    /** True when the last cycle could not make a plan. */
+    /** True when the planner failed in the last cycle, which then placed no task. */
     boolean lastPlanFailed() {
         return planner.lastPlanFailed();
     }
 
-    /** Number of values that the last cycle had to write. */
+    /** Number of values that the last cycle had to write, including those that it deferred. */
     int lastWriteCount() {
         return lastWriteCount;
     }
 
-    /** Runs all phases in order. */
+    /** Runs the phases of one cycle in order. */
     void run() {
         termState.reservations().expire();
         termState.dirtyAttempts().markOnChangedMachines();
@@ -67,7 +67,11 @@
         return writer.write(state.pendingWrites());
     }
 
-    /** Responses whose launches wait for the write budget stay held: the next regular heartbeat is seconds away. */
+    /**
+     * Reports that the orders are complete only when no write is deferred or in flight. Otherwise a held heartbeat
+     * response would be released before the launch it waits for is stored, and the machine would receive that launch
+     * only with its next regular heartbeat, seconds later.
+     */
     private void notifyOfOrders(boolean allWritesSent) {
         if (allWritesSent && writer.isIdle()) {
             termState.notifier().notifyOrdersComplete();
--- a/src/main/java/org/spoolline/scheduler/SchedulingPlan.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulingPlan.java
@@ -6,13 +6,13 @@
 import org.spoolline.cluster.ResourceDemand;
 
 /**
- * The outcome of one planning pass.
+ * Result of planning one scheduling cycle.
  *
- * @param placements   tasks to launch, by job id, in the order in which the jobs were planned
- * @param demands      tasks without capacity, most urgent first
- * @param preemptions  machines to be cleared for jobs among the demands
- * @param accumulatingMachines names of the machines kept from other jobs so that capacity for a starving gang accumulates
- * @param machinesToEvacuate    names of the machines to be emptied because their tasks fit on other machines
+ * @param placements           placed tasks by job id, in the order in which the jobs were planned
+ * @param demands              tasks that found no capacity, most urgent first
+ * @param preemptions          evictions that free machines for jobs among the demands
+ * @param accumulatingMachines names of the machines withheld from other jobs to accumulate capacity for a starving gang
+ * @param machinesToEvacuate   names of the machines to evacuate because their tasks fit on other machines
  */
 record SchedulingPlan(
         Map<String, List<Placement>> placements,
@@ -21,7 +21,7 @@
         Set<String> accumulatingMachines,
         Set<String> machinesToEvacuate) {
 
-    /** A plan that changes nothing. */
+    /** Returns a plan without any placement, demand or eviction. */
     static SchedulingPlan empty() {
         return new SchedulingPlan(Map.of(), List.of(), List.of(), Set.of(), Set.of());
     }
--- a/src/main/java/org/spoolline/scheduler/TermState.java
+++ b/src/main/java/org/spoolline/scheduler/TermState.java
@@ -5,16 +5,16 @@
 import org.spoolline.reconcile.TerminationProof;
 
 /**
- * What a leader derives and keeps in memory during one term, beside the tables of jobs and machines. Nothing of it is
- * stored: a new leader begins without it.
+ * In-memory state that a leader derives during its term, in addition to the tables of jobs and machines. It is not
+ * stored: a new leader starts with empty state.
  *
- * @param notifier      machines with new orders
- * @param reservations  machines reserved for one job each
- * @param phases        phases of tasks by their last heartbeats
- * @param reconciler    attempts that are to be stopped
- * @param gangLaunches  order of launches within gangs
- * @param images        images that machines have cached
- * @param dirtyAttempts attempts to be reconciled in the next cycle
+ * @param notifier      collects the machines that have new orders
+ * @param reservations  machines that accept tasks of a single job only
+ * @param phases        task phases that the last heartbeats reported
+ * @param reconciler    reconciles attempts and knows which ones to stop
+ * @param gangLaunches  launch order of the tasks within each gang
+ * @param images        estimate of the images that each machine has cached
+ * @param dirtyAttempts attempts that the next cycle has to reconcile
  * @param dependencies  dependencies between jobs
  */
 record TermState(
@@ -28,9 +28,9 @@
         DependencyTracker dependencies) {
 
     /**
-     * Creates the state of a node that does not lead.
+     * Creates the state of a node that is not the leader.
      *
-     * @param requestCycle runs when a cycle may have something new to decide
+     * @param requestCycle requests a scheduling cycle after a change
      */
     static TermState create(SchedulerContext context, CycleListener listener, Runnable requestCycle) {
         OrderNotifier notifier = new OrderNotifier(listener);
@@ -54,7 +54,12 @@
                 new DependencyTracker(context.loop(), context.store(), context.jobs(), requestCycle));
     }
 
-    /** Begins a term: forgets everything of an earlier one. */
+    /**
+     * Starts a term with empty state.
+     *
+     * @param token fencing token of the term
+     * @param proof rules by which the leader infers in this term that an attempt has terminated
+     */
     void beginTerm(long token, TerminationProof proof) {
         reconciler.begin(proof);
         dependencies.beginTerm(token);
@@ -64,13 +69,13 @@
         dirtyAttempts.clear();
     }
 
-    /** Ends the term: reads in flight are ignored, and no attempt is to be stopped any longer. */
+    /** Ends the term: ignores the responses to reads in flight and clears the list of attempts to stop. */
     void endTerm() {
         dependencies.beginTerm(Scheduler.NO_TERM);
         reconciler.end();
     }
 
-    /** Forgets a job that has reached a terminal state. */
+    /** Removes the state of a job that has reached a terminal state. */
     void removeJob(String jobId) {
         reconciler.forget(jobId);
         gangLaunches.forget(jobId);
