--- a/src/main/java/org/spoolline/scheduler/CommitListener.java
+++ b/src/main/java/org/spoolline/scheduler/CommitListener.java
@@ -8,7 +8,7 @@
 import org.spoolline.pipeline.Attempt;
 import org.spoolline.pipeline.Pipeline;
 
-/** Updates the leader's tables by what becomes of the writes that a cycle has sent. */
+/** Updates the leader's tables with the outcome of the writes that scheduling cycles sent. */
 final class CommitListener implements PipelineWriter.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(CommitListener.class);
 
@@ -51,7 +51,10 @@
         termState.removeJob(jobId);
     }
 
-    /** What was decided is not stored, so all of the job's attempts are to be reconciled again. */
+    /**
+     * Marks all attempts of the job as dirty: the changes of the write are not stored, so they have to be computed
+     * again.
+     */
     @Override
     public void writeAbandoned(JobEntry entry) {
         termState
--- a/src/main/java/org/spoolline/scheduler/DependencyTracker.java
+++ b/src/main/java/org/spoolline/scheduler/DependencyTracker.java
@@ -22,20 +22,24 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * The leader's view of the dependencies between jobs, derived anew in each cycle from the live jobs and the terminal
- * records of their dependencies; nothing of it is stored. A job is released only on records that were read from the
- * key-value store or whose write it has confirmed. Records never change, so a release holds across failovers.
+ * The leader's view of the dependencies between jobs. Each cycle derives it from the live jobs and from the terminal
+ * records of their dependencies; it is not stored.
+ *
+ * <p>A job is released only by terminal records that this leader read from the key-value store or whose write the store
+ * confirmed. Terminal records never change, so a release remains valid after a failover.
  */
 final class DependencyTracker {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
 
-    /** What a cycle does with a job that waits for dependencies. */
+    /** Combined state of the dependencies of a job that waits for them. */
     enum Status {
-        /** It waits on: the outcome of some dependency is not known. */
+        /** The outcome of at least one dependency is not known yet; the job remains waiting. */
         UNSATISFIED,
-        /** It is released: all dependencies are done. */
+        /** All dependencies are done; the job is released. */
         SATISFIED,
-        /** It is cancelled: some dependency was cancelled, directly or with one of its own. */
+        /**
+         * At least one dependency was cancelled, by a user or because of its own dependencies; the job is cancelled.
+         */
         CANCELLED
     }
 
@@ -44,14 +48,14 @@
     private final JobTable jobs;
     private final Runnable onChange;
     private long term;
-    /** Terminal records known of jobs that others depend on. */
+    /** Known terminal records of dependencies, by job id. */
     private final Map<String, TerminalRecord> terminalRecords = new HashMap<>();
-    /** Jobs whose terminal record is being read. */
+    /** Ids of the jobs whose terminal record is being read. */
     private final Set<String> readsInFlight = new HashSet<>();
-    /** Waiting jobs by each of their dependencies. */
+    /** Waiting jobs by the id of each of their dependencies. */
     private final Map<String, List<Pipeline>> dependents = new HashMap<>();
 
-    /** Statuses other than {@link Status#UNSATISFIED}. */
+    /** Status of waiting jobs by job id; {@link Status#UNSATISFIED} is not stored. */
     private final Map<String, Status> statuses = new HashMap<>();
 
     private final Map<String, Submission.Priority> inheritedPriorities = new HashMap<>();
@@ -63,7 +67,11 @@
         this.onChange = onChange;
     }
 
-    /** Begins the term of this token, or with 0 ends the present one; forgets everything read in an earlier term. */
+    /**
+     * Starts a term with empty state. Responses to reads of earlier terms are ignored.
+     *
+     * @param token fencing token of the term; {@link Scheduler#NO_TERM} when this node is no longer the leader
+     */
     void beginTerm(long token) {
         term = token;
         terminalRecords.clear();
@@ -73,12 +81,12 @@
         inheritedPriorities.clear();
     }
 
-    /** Records that the terminal record of a job is stored. */
+    /** Records that the key-value store confirmed the write of a job's terminal record. */
     void terminalRecordStored(String jobId, TerminalRecord record) {
         terminalRecords.put(jobId, record);
     }
 
-    /** Decides on every waiting job by what is known now, and reads the records that are missing. */
+    /** Recomputes the status of each waiting job, and starts to read terminal records that are missing. */
     void refresh() {
         dependents.clear();
         statuses.clear();
@@ -107,12 +115,12 @@
         inheritPriorities(waiting);
     }
 
-    /** The decision on a job that waits for dependencies, as of the last {@link #refresh}. */
+    /** Returns the status of a job that waits for dependencies, as of the last {@link #refresh}. */
     Status statusOf(Pipeline waiting) {
         return statuses.getOrDefault(waiting.jobId(), Status.UNSATISFIED);
     }
 
-    /** The job's proposed value, with its status applied. */
+    /** Returns a copy of the job's value in which its dependencies are satisfied or it is cancelled, by its status. */
     Pipeline applyStatus(Pipeline waiting) {
         Pipeline proposed = waiting.copy();
         switch (statusOf(waiting)) {
@@ -132,12 +140,17 @@
         return proposed;
     }
 
-    /** By job, the highest priority among the waiting jobs that depend on it, directly or through others. */
+    /**
+     * Returns, by job id, the highest priority among the waiting jobs that depend on the job directly or transitively.
+     */
     Map<String, Submission.Priority> inheritedPriorities() {
         return inheritedPriorities;
     }
 
-    /** Goes from the cancelled jobs to all that depend on them: a chain of any length is cancelled in one cycle. */
+    /**
+     * Marks all direct and transitive dependents of cancelled jobs as cancelled, so that a dependency chain of any
+     * length is cancelled in one cycle.
+     */
     private void cancelDependents() {
         Deque<String> cancelled = new ArrayDeque<>();
         for (String dependency : dependents.keySet()) {
@@ -163,7 +176,10 @@
         return record != null && !record.done();
     }
 
-    /** True when the records of all dependencies are known; those of jobs that are no longer live are read. */
+    /**
+     * True when the terminal records of all dependencies are known; {@link #cancelDependents} has already handled the
+     * cancelled ones. Starts to read missing records of jobs that are no longer live.
+     */
     private boolean allDependenciesDone(Pipeline waiting) {
         boolean allDone = true;
         for (String jobId : waiting.spec().dependencies()) {
@@ -194,7 +210,8 @@
                 onChange.run();
                 return;
             }
-            // No answer, or the watch has not delivered the live value of the dependency yet.
+            // The store did not respond, or the dependency is still live and the watch has not delivered its value yet.
+            // Reading is retried in both cases.
             loop.after(Constants.Time.RETRY_MS, () -> {
                 if (term == readTerm) {
                     readsInFlight.remove(jobId);
@@ -204,7 +221,10 @@
         });
     }
 
-    /** Passes priorities on to dependencies, from the highest priority down so that each job is visited once. */
+    /**
+     * Propagates the priorities of waiting jobs to their dependencies, from the highest priority to the lowest, so that
+     * each dependency is visited only once.
+     */
     private void inheritPriorities(List<JobEntry> waiting) {
         List<Pipeline> byPriority = new ArrayList<>();
         for (JobEntry entry : waiting) {
--- a/src/main/java/org/spoolline/scheduler/EncodedWrite.java
+++ b/src/main/java/org/spoolline/scheduler/EncodedWrite.java
@@ -8,14 +8,14 @@
 import org.spoolline.net.Json;
 
 /**
- * A pending write in its stored form: the live value, or the terminal record that takes its place.
+ * A pending write with its encoded value: the live value of the job or the terminal record that replaces it.
  *
- * @param write      the write
- * @param value      the value to be stored
- * @param valueBytes size of the value
+ * @param write      the pending write
+ * @param value      the encoded value to store
+ * @param valueBytes size of the encoded value in bytes
  */
 record EncodedWrite(PendingWrite write, ObjectNode value, int valueBytes) {
-    /** Encodes a write. */
+    /** Encodes a pending write. */
     static EncodedWrite of(PendingWrite write) {
         ObjectNode value = write.terminal()
                 ? TerminalRecord.of(write.proposed()).encode()
@@ -23,24 +23,26 @@
         return new EncodedWrite(write, value, Json.bytes(value).length);
     }
 
-    /** Changed keys: a terminal record is put and the live value deleted. */
+    /** Number of keys that the write changes. A terminal write puts the terminal record and deletes the live value. */
     static int operations(PendingWrite write) {
         return write.terminal() ? 2 : 1;
     }
 
-    /** Changed keys. */
+    /** Number of keys that this write changes. */
     int operations() {
         return operations(write);
     }
 
-    /** Bytes that the write takes of a transaction. */
+    /** Number of bytes that the write adds to a transaction; a fixed estimate for a terminal record. */
     int transactionBytes() {
         return write.terminal()
                 ? Constants.Store.TERMINAL_RECORD_BYTES
                 : valueBytes + Constants.Store.TRANSACTION_WRITE_OVERHEAD_BYTES;
     }
 
-    /** Adds the write to a transaction, on condition that the live value has not changed since it was committed. */
+    /**
+     * Adds the write to a transaction, on condition that the stored live value still has the version this leader knows.
+     */
     void addTo(Transaction transaction) {
         String liveKey = JobKeys.live(write.jobId());
         transaction.requireVersion(liveKey, write.entry().version());
--- a/src/main/java/org/spoolline/scheduler/ImageTracker.java
+++ b/src/main/java/org/spoolline/scheduler/ImageTracker.java
@@ -9,7 +9,7 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Submission;
 
-/** Maintains the estimate of which machines have which images cached, for image locality. */
+/** Estimates which images each machine has cached, for image locality in placement. */
 final class ImageTracker {
     private final MachineTypeCatalog catalog;
     private final JobTable jobs;
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Learns from a reported task. One that is past its fetch shows that its image is cached; a new leader has no other
-     * source for this.
+     * Records the image of a task that a heartbeat reported, if the task is past its image fetch and has not
+     * exited. A new leader has no other information about cached images.
      */
     void recordReportedTask(Machine machine, AttemptId attemptId) {
         TaskStatus status = machine.tasks().get(attemptId);
@@ -35,7 +35,10 @@
         }
     }
 
-    /** Records that a task with the job's image starts on the machine, which may evict older images from its cache. */
+    /**
+     * Records that a task of the job starts on the machine; the machine may evict older images to cache the job's
+     * image.
+     */
     void recordUse(Machine machine, Submission spec) {
         MachineType type = catalog.types().get(machine.type());
         if (type != null) {
--- a/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
+++ b/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
@@ -20,7 +20,7 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 
-/** Turns a plan's placements into attempts, as many as the job's stored value can take. */
+/** Creates attempts for the placements of a plan, as many as fit into the stored value of each job. */
 final class LaunchPreparer {
     private static final Logger LOG = LoggerFactory.getLogger(LaunchPreparer.class);
 
@@ -42,21 +42,22 @@
         this.jobsWithFullValue = new JobPauses(context.loop());
     }
 
-    /** Forgets everything of an earlier term. */
+    /** Clears the state of the previous term. */
     void clear() {
         jobsWithFullValue.clear();
     }
 
     /**
-     * Jobs whose value has lately had no space for all placed attempts. Their placements would leave capacity unused in
-     * cycle after cycle, so they are not placed for a while.
+     * Returns the jobs whose stored value recently had no space for all placed attempts. Planning them again in each
+     * cycle would assign them capacity that they cannot use, so the planner skips them for
+     * {@link Constants.Cycle#VALUE_FULL_BACKOFF_MS}.
      */
     JobPauses jobsWithFullValue() {
         jobsWithFullValue.expire();
         return jobsWithFullValue;
     }
 
-    /** Adds attempts for the placements of every job to the values to be written. */
+    /** Adds attempts for the plan's placements, by job id, to the values that the cycle writes. */
     void prepare(Map<String, List<Placement>> placements, CycleState state) {
         placements.forEach((jobId, jobPlacements) -> prepare(jobId, jobPlacements, state));
     }
@@ -90,13 +91,18 @@
                 attemptNumber);
     }
 
-    /** Members that complete a gang share the number of the members that it has. */
+    /**
+     * Returns the number for new attempts of the job. New members of a partly placed gang get the attempt number of its
+     * existing members.
+     */
     private static long attemptNumber(Pipeline job) {
         boolean completesGang = job.spec().gang() && !job.attempts().isEmpty();
         return completesGang ? job.attempts().iterator().next().number() : job.nextAttemptNumber();
     }
 
-    /** Adds an attempt for each placement; {@code attemptsWithImage} receives those whose machine has the image. */
+    /**
+     * Adds an attempt for each placement, and to {@code attemptsWithImage} those whose machine has cached the image.
+     */
     private List<Attempt> addAttempts(
             Pipeline job, long attemptNumber, List<Placement> placements, Set<AttemptId> attemptsWithImage) {
         List<Attempt> added = new ArrayList<>();
@@ -113,7 +119,10 @@
         return added;
     }
 
-    /** Withdraws attempts from the end until the value fits: all of a gang, half of an array at a time. */
+    /**
+     * Withdraws the last added attempts until the value fits: for a gang all of them at once, for an array half of the
+     * remaining ones at a time.
+     */
     private void withdrawUntilValueFits(Pipeline job, List<Attempt> added) {
         while (!added.isEmpty() && !valueFits(job)) {
             int withdrawCount = job.spec().gang() ? added.size() : (added.size() + 1) / 2;
@@ -123,7 +132,7 @@
         }
     }
 
-    /** True while the value can still take the end of every task, in any order, and a cancellation. */
+    /** True when the value leaves space to record the completion of every task, in any order, and a cancellation. */
     private boolean valueFits(Pipeline job) {
         int bytes = Json.bytes(job.encode()).length;
         int limit = store.safeValueBytes();
--- a/src/main/java/org/spoolline/scheduler/MachineEvictions.java
+++ b/src/main/java/org/spoolline/scheduler/MachineEvictions.java
@@ -9,7 +9,7 @@
 import org.spoolline.net.EventLoop;
 import org.spoolline.reconcile.AttemptReconciler;
 
-/** Starts what a plan has decided about machines that tasks have to leave: preemption and consolidation. */
+/** Starts the evictions of a plan, which are preemptions and evacuations for consolidation. */
 final class MachineEvictions {
     private static final Logger LOG = LoggerFactory.getLogger(MachineEvictions.class);
 
@@ -28,17 +28,20 @@
         this.notifier = termState.notifier();
     }
 
-    /** Begins a term: the first consolidation is due one interval from now. */
+    /** Starts a term; its first consolidation is due after {@link Constants.Placement#CONSOLIDATION_INTERVAL_MS}. */
     void beginTerm() {
         lastConsolidationAt = loop.now();
     }
 
-    /** True when the tasks of machines evacuated earlier have had the time to move. */
+    /**
+     * True when the consolidation interval has passed, so that tasks of machines evacuated before have had time to
+     * move.
+     */
     boolean mayConsolidate() {
         return loop.now() - lastConsolidationAt >= Constants.Placement.CONSOLIDATION_INTERVAL_MS;
     }
 
-    /** Starts the plan's preemptions and evacuations. */
+    /** Starts the preemptions and evacuations of the plan. */
     void startEvictions(SchedulingPlan plan) {
         startPreemptions(plan.preemptions());
         startEvacuation(plan.machinesToEvacuate());
--- a/src/main/java/org/spoolline/scheduler/OrderNotifier.java
+++ b/src/main/java/org/spoolline/scheduler/OrderNotifier.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.spoolline.reconcile.OrderListener;
 
-/** Collects the machines that have new orders and notifies the {@link CycleListener} of them. */
+/** Collects the names of machines that have new orders and passes them to the {@link CycleListener}. */
 final class OrderNotifier implements OrderListener {
     private final CycleListener listener;
     private final Set<String> machinesWithNewOrders = new HashSet<>();
@@ -14,23 +14,23 @@
         this.listener = listener;
     }
 
-    /** Forgets the machines of an earlier term. */
+    /** Clears the machines of the previous term. */
     void clear() {
         machinesWithNewOrders.clear();
     }
 
-    /** Records the machine; the cycle listener is notified later. */
+    /** Records that the machine has new orders; the cycle listener is notified later. */
     @Override
     public void ordersChanged(String machine) {
         machinesWithNewOrders.add(machine);
     }
 
-    /** Notifies the listener while writes are pending. */
+    /** Notifies the listener of new orders while writes may still be deferred or in flight. */
     void notifyOrdersChanged() {
         listener.ordersChanged(getAndClearMachines());
     }
 
-    /** Notifies the listener after every decision was written. */
+    /** Notifies the listener of new orders when no write is deferred or in flight. */
     void notifyOrdersComplete() {
         listener.ordersComplete(getAndClearMachines());
     }
--- a/src/main/java/org/spoolline/scheduler/PendingWrite.java
+++ b/src/main/java/org/spoolline/scheduler/PendingWrite.java
@@ -4,18 +4,18 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * A job's value that a scheduling cycle has changed and that is to be stored.
+ * A value of a job that a scheduling cycle has changed and has to store.
  *
- * @param entry the job as it is committed
- * @param proposed  the value that is to replace the committed one
+ * @param entry    the live job with its committed value
+ * @param proposed the value to store in place of the committed value
  */
 record PendingWrite(JobEntry entry, Pipeline proposed) {
-    /** The job's id. */
+    /** Id of the job. */
     String jobId() {
         return proposed.jobId();
     }
 
-    /** True when the job reaches a terminal state: its terminal record takes the place of the live value. */
+    /** True when the job reaches a terminal state, so that its terminal record replaces the live value. */
     boolean terminal() {
         return proposed.succeeded() || proposed.cancelledWithoutAttempts();
     }
--- a/src/main/java/org/spoolline/scheduler/PipelineWriter.java
+++ b/src/main/java/org/spoolline/scheduler/PipelineWriter.java
@@ -11,22 +11,27 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Stores what the scheduling cycles decide: each changed value once, the most urgent first, in few transactions that hold
- * only under this leadership.
+ * Writes the jobs that a scheduling cycle changed to the key-value store: each job once, the most urgent first, in as
+ * few transactions as possible. Each transaction is conditional on this node still being the leader.
  */
 final class PipelineWriter {
-    /** Is notified of what becomes of pending writes. */
+    /** Receives the outcome of pending writes. */
     interface Listener {
-        /** The write is part of a transaction that was sent. */
+        /** Called when the write was sent as part of a transaction. */
         void writeSent(PendingWrite write);
 
-        /** The write is stored, with this revision. */
+        /** Called when the write was stored at the given revision of the key-value store. */
         void writeApplied(PendingWrite write, long revision);
 
-        /** The write to this job is not stored and never will be. */
+        /** Called when the write of the job was not stored and can no longer be stored. */
         void writeAbandoned(JobEntry entry);
 
-        /** The outcome of a transaction, or of a write that was read again, is known; true when it was applied. */
+        /**
+         * Called when the outcome of a transaction is known, and for each job that was read again to determine the
+         * outcome of its write.
+         *
+         * @param applied true when the store confirmed that the transaction was applied; false for a job read again
+         */
         void outcomeKnown(boolean applied);
     }
 
@@ -50,7 +55,11 @@
         this.committer = new TransactionCommitter(loop, store, election, jobs, refusedWrites, listener, writeLog);
     }
 
-    /** Begins the term of this token, or with 0 ends the present one; answers to transactions in flight are ignored. */
+    /**
+     * Starts a term with empty state. Responses to transactions in flight are ignored.
+     *
+     * @param token fencing token of the term; {@link Scheduler#NO_TERM} when this node is no longer the leader
+     */
     void beginTerm(long token) {
         committer.beginTerm(token);
         writeOrder.clear();
@@ -63,10 +72,10 @@
     }
 
     /**
-     * Sends writes in few transactions, as far as the write budget goes.
+     * Sends writes, most urgent first, until the write budget or the limit of transactions in flight is reached.
      *
-     * @param writes by job id
-     * @return true when all were sent; the next cycle decides the others again
+     * @param writes pending writes by job id
+     * @return true when all writes were sent; the next cycle computes the unsent ones again
      */
     boolean write(Map<String, PendingWrite> writes) {
         List<PendingWrite> writesToSend = writeOrder.writesToSend(writes);
@@ -79,7 +88,8 @@
             }
             EncodedWrite encoded = EncodedWrite.of(write);
             if (encoded.valueBytes() > store.limits().valueBytes()) {
-                // A value from before the limits were lowered: it is written once enough of its tasks have ended.
+                // The job was stored before the store lowered its limit on value sizes. The write is deferred until
+                // enough tasks have ended for the value to fit.
                 continue;
             }
             if (needsNewBatch(batch, encoded)) {
@@ -100,7 +110,7 @@
         return isolated || !batch.fits(encoded, store.limits().txnOps());
     }
 
-    /** True when nothing of the batch is left to be sent. */
+    /** Sends the batch if another transaction may be sent; returns true when the batch was sent or is empty. */
     private boolean sendIfPossible(WriteBatch batch) {
         if (batch.isEmpty()) {
             return true;
--- a/src/main/java/org/spoolline/scheduler/QuotaAudit.java
+++ b/src/main/java/org/spoolline/scheduler/QuotaAudit.java
@@ -18,8 +18,9 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Compares what the machines' heartbeats list with the teams' limits. Placement and launching keep the limits; this is the
- * check, by other knowledge, that they do. It changes nothing.
+ * Compares the resource usage that machines report in their heartbeats with the limits of the teams. Placement and
+ * launching enforce the limits by the stored attempts; this audit checks the result against independent data. It only
+ * counts and logs violations.
  */
 final class QuotaAudit {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaAudit.class);
@@ -39,7 +40,10 @@
         this.counters = context.counters();
     }
 
-    /** Audits all teams, unless that was done a short time ago: it looks at every task of every machine. */
+    /**
+     * Audits all teams, at most once in {@link Constants.Cycle#FULL_RECONCILE_MS}, because an audit iterates over all
+     * tasks of all machines.
+     */
     void runIfDue() {
         if (loop.now() - lastAuditAt < Constants.Cycle.FULL_RECONCILE_MS) {
             return;
--- a/src/main/java/org/spoolline/scheduler/StallInspector.java
+++ b/src/main/java/org/spoolline/scheduler/StallInspector.java
@@ -12,7 +12,10 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 
-/** Finds why a leader places nothing, as far as it knows. Looks at every job and machine, so it is to be called rarely. */
+/**
+ * Determines why a leader places no tasks, as far as it knows. It iterates over all jobs and machines, so callers run
+ * it rarely.
+ */
 final class StallInspector {
     private final LeaderElection election;
     private final MachineTypeCatalog catalog;
@@ -33,7 +36,13 @@
         this.writer = writer;
     }
 
-    /** The present situation, given whether the last scheduling cycle and the last plan failed. */
+    /**
+     * Returns the current situation: the first stall reason that applies, the waiting jobs and the free capacity.
+     *
+     * @param schedulableMachines machines that send heartbeats and accept tasks
+     * @param lastCycleFailed     true when the last scheduling cycle failed
+     * @param lastPlanFailed      true when the planner failed in the last scheduling cycle
+     */
     StallMonitor.Situation inspect(List<Machine> schedulableMachines, boolean lastCycleFailed, boolean lastPlanFailed) {
         int dependentJobs = 0;
         int readyJobs = 0;
--- a/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
+++ b/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
@@ -18,13 +18,15 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Commits transactions that hold only under this leadership, and follows each one until its outcome is known. A
- * transaction without an answer is sent again unchanged: by its conditions it is applied once at most.
+ * Commits transactions on condition that this node is still the leader, and tracks each one until its outcome is known.
+ * A transaction without a response is resent unchanged; its version conditions ensure that at most one copy is applied.
  */
 final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
 
-    /** A transaction that was sent, with the term in which it was; a later term ignores its answer. */
+    /**
+     * A transaction in flight, with the term in which it was sent. Responses that arrive in a later term are ignored.
+     */
     private record SentTransaction(
             long id, Transaction transaction, List<PendingWrite> writes, int operations, long term) {}
 
@@ -56,7 +58,11 @@
         this.writeLog = writeLog;
     }
 
-    /** Begins the term of this token, or with 0 ends the present one; answers to earlier transactions are ignored. */
+    /**
+     * Starts a term. Responses to transactions of earlier terms are ignored from now on.
+     *
+     * @param token fencing token of the term; {@link Scheduler#NO_TERM} when this node is no longer the leader
+     */
     void beginTerm(long token) {
         term = token;
         inFlight = 0;
@@ -67,12 +73,12 @@
         return inFlight == 0;
     }
 
-    /** True while another transaction may be sent. */
+    /** True while fewer transactions are in flight than the limit allows. */
     boolean maySend() {
         return inFlight < Constants.Store.TRANSACTIONS_IN_FLIGHT_MAX;
     }
 
-    /** Sends a batch as one transaction. */
+    /** Sends a batch as one transaction and marks its jobs as having a write in flight. */
     void send(WriteBatch batch) {
         Transaction transaction =
                 new Transaction().requireVersion(LeaderElection.LEADER_KEY, election.leaderKeyVersion());
@@ -105,7 +111,7 @@
         }
     }
 
-    /** Sends a transaction again, of which an earlier copy may have been applied, or may yet be. */
+    /** Resends a transaction after a delay. An earlier copy may have been applied already or may still be applied. */
     private void scheduleResend(SentTransaction sent) {
         LOG.info(
                 "Resending unanswered transaction: transaction={} jobs={}",
@@ -114,12 +120,16 @@
         runAfterRetryDelay(sent.term(), () -> commit(sent, result -> handleResendResponse(sent, result)));
     }
 
-    /** That this copy was not applied does not mean that no earlier one was. */
+    /**
+     * Handles the response to a resent copy. When the store refuses this copy, an earlier one may still have been
+     * applied, so the transaction is resent until its outcome is known.
+     */
     private void handleResendResponse(SentTransaction sent, CommitResult result) {
         switch (result.outcome()) {
             case UNKNOWN, REFUSED -> scheduleResend(sent);
             case TOO_LARGE -> {
-                // The limits were lowered after an earlier copy was sent: only the stored values show its outcome.
+                // The store lowered its limits after an earlier copy was sent. Whether that copy was applied can only
+                // be determined from the stored values.
                 inFlight--;
                 sent.writes().forEach(write -> reread(sent, write));
                 listener.outcomeKnown(false);
@@ -145,7 +155,10 @@
         writes.forEach(write -> listener.writeApplied(write, revision));
     }
 
-    /** Jobs with newer values are read again; for the others the failed condition rules out any late copy. */
+    /**
+     * Handles a transaction with a failed condition. Jobs whose stored version changed are read again. The writes of
+     * the other jobs are abandoned: the failed condition also fails for every copy of the transaction still in flight.
+     */
     private void handleConflict(SentTransaction sent, List<String> failedKeys) {
         if (failedKeys.contains(LeaderElection.LEADER_KEY)) {
             election.stepDown("the leader key has changed");
@@ -184,7 +197,7 @@
         listener.writeAbandoned(entry);
     }
 
-    /** Reads the job's stored value, which shows whether the write was applied. */
+    /** Reads the job's stored value to determine whether the write was applied; retries until the store responds. */
     private void reread(SentTransaction sent, PendingWrite write) {
         store.acquireWithDebt(0);
         store.get(JobKeys.live(write.jobId()), read -> {
--- a/src/main/java/org/spoolline/scheduler/WriteLog.java
+++ b/src/main/java/org/spoolline/scheduler/WriteLog.java
@@ -13,8 +13,9 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Counts and logs what becomes of the writes that cycles decide: transactions that were not applied and deferred writes at
- * info, single writes at debug. What is placed or lost is logged when it is decided; these lines tell what was stored.
+ * Counts and logs the outcome of writes: at info level transactions that were not applied, at debug level single writes
+ * and deferred writes. Placements and lost attempts are logged when a cycle decides them; the lines of this log show
+ * which of those decisions were stored.
  */
 final class WriteLog {
     private static final Logger LOG = LoggerFactory.getLogger(WriteLog.class);
@@ -25,8 +26,8 @@
         this.counters = counters;
     }
 
-    /** The writes are sent as one transaction, whose number is unique in its term. */
-    void sent(long transaction, List<PendingWrite> writes) {
+    /** Logs writes that were sent as one transaction. The transaction id is unique within the term. */
+    void sent(long transactionId, List<PendingWrite> writes) {
         if (!LOG.isDebugEnabled()) {
             return;
         }
@@ -34,46 +35,51 @@
             LOG.debug(
                     "Write sent: job={} transaction={} base_revision={} added={} released={}",
                     write.jobId(),
-                    transaction,
+                    transactionId,
                     write.entry().version(),
                     countAttemptsNotIn(write.proposed(), write.entry().committed()),
                     countAttemptsNotIn(write.entry().committed(), write.proposed()));
         }
     }
 
-    /** The transaction was applied at the revision. */
-    void applied(long transaction, List<PendingWrite> writes, long revision) {
+    /** Logs writes that were applied at the given revision of the key-value store. */
+    void applied(long transactionId, List<PendingWrite> writes, long revision) {
         for (PendingWrite write : writes) {
-            LOG.debug("Write applied: job={} transaction={} revision={}", write.jobId(), transaction, revision);
+            LOG.debug("Write applied: job={} transaction={} revision={}", write.jobId(), transactionId, revision);
         }
     }
 
-    /** The transaction failed, since the values of these keys are newer. */
-    void conflicted(long transaction, List<PendingWrite> writes, List<String> keys) {
+    /** Logs a transaction that failed because the given keys have newer values. */
+    void conflicted(long transactionId, List<PendingWrite> writes, List<String> keys) {
         LOG.info(
                 "Transaction conflicted with newer values: transaction={} jobs={} keys={}",
-                transaction,
+                transactionId,
                 writes.size(),
                 keys);
     }
 
-    /** The transaction was refused. */
-    void refused(long transaction, List<PendingWrite> writes, CommitOutcome outcome) {
-        LOG.info("Transaction refused: transaction={} jobs={} reason={}", transaction, writes.size(), outcome);
+    /** Logs a transaction that the key-value store refused. */
+    void refused(long transactionId, List<PendingWrite> writes, CommitOutcome outcome) {
+        LOG.info("Transaction refused: transaction={} jobs={} reason={}", transactionId, writes.size(), outcome);
     }
 
-    /** The write to this job is not stored and never will be. */
-    void abandoned(long transaction, JobEntry entry, CommitOutcome outcome) {
+    /** Counts and logs a write that was not stored and can no longer be stored. */
+    void abandoned(long transactionId, JobEntry entry, CommitOutcome outcome) {
         counters.count(Event.WRITE_ABANDONED);
         LOG.debug(
                 "Write abandoned: job={} transaction={} base_revision={} reason={}",
                 entry.committed().jobId(),
-                transaction,
+                transactionId,
                 entry.version(),
                 outcome.name().toLowerCase(Locale.ROOT));
     }
 
-    /** The writes wait for a later cycle: they are paused, may wait, or exceed what may be sent now. */
+    /**
+     * Counts and logs writes that are deferred to a later cycle, because their jobs are paused, because they only
+     * record completions, or because they exceed the limits on what can be sent now.
+     *
+     * @param allowance number of further writes that the write budget still allows
+     */
     void deferred(Collection<PendingWrite> writes, int allowance) {
         if (writes.isEmpty()) {
             return;
--- a/src/main/java/org/spoolline/scheduler/WriteOrder.java
+++ b/src/main/java/org/spoolline/scheduler/WriteOrder.java
@@ -12,9 +12,9 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** Decides which pending writes are sent first, by {@link WriteRank} and then by how long they have waited. */
+/** Orders pending writes by {@link WriteRank} and, within one rank, from the longest to the shortest pending. */
 final class WriteOrder {
-    /** A write with its place in the order. */
+    /** A write with the rank and the time by which it is ordered. */
     private record RankedWrite(PendingWrite write, WriteRank rank, long pendingSince) {}
 
     private static final Comparator<RankedWrite> MOST_URGENT_FIRST =
@@ -23,7 +23,7 @@
     private final EventLoop loop;
     private final KeyValueStoreClient store;
     private final RefusedWrites refusedWrites;
-    /** Since when a job has waited to be written. */
+    /** Time at which each job started to wait for its write, by job id, in ms of the clock of the event loop. */
     private final Map<String, Long> pendingSince = new HashMap<>();
 
     WriteOrder(EventLoop loop, KeyValueStoreClient store, RefusedWrites refusedWrites) {
@@ -32,19 +32,22 @@
         this.refusedWrites = refusedWrites;
     }
 
-    /** Forgets everything of an earlier term. */
+    /** Clears the state of the previous term. */
     void clear() {
         pendingSince.clear();
     }
 
-    /** Records that the job's write was sent, so that it no longer waits. */
+    /** Records that the job's write was sent; the waiting time of its next write starts anew. */
     void markSent(String jobId) {
         pendingSince.remove(jobId);
     }
 
     /**
-     * The writes to be sent now, most urgent first. Left out are those of paused jobs and, while the write budget is low,
-     * those of {@link WriteRank#COMPLETIONS_ONLY} that can wait longer.
+     * Returns the writes that can be sent now, most urgent first. It omits the writes of paused jobs and, while the
+     * write budget is low, writes of rank {@link WriteRank#COMPLETIONS_ONLY} until they have waited for
+     * {@link Constants.Cycle#COMPLETIONS_WAIT_MS}.
+     *
+     * @param writes pending writes by job id
      */
     List<PendingWrite> writesToSend(Map<String, PendingWrite> writes) {
         pendingSince.keySet().retainAll(writes.keySet());
--- a/src/main/java/org/spoolline/scheduler/WriteRank.java
+++ b/src/main/java/org/spoolline/scheduler/WriteRank.java
@@ -1,17 +1,20 @@
 package org.spoolline.scheduler;
 
-/** The order in which pending writes are sent while the write budget is limited, most urgent first. */
+/** Rank of a pending write. While the write budget is limited, the first ranks are written first. */
 enum WriteRank {
-    /** It has waited so long that it goes first, whatever it is: no job starves. */
+    /** Has waited for longer than {@code WRITE_STARVATION_MS} and is sent first, so that no job starves. */
     STARVED,
-    /** It launches tasks of an urgent job. */
+    /** Launches tasks of a job of priority urgent or higher. */
     URGENT_LAUNCHES,
-    /** The job reaches a terminal state, for which a user waits. */
+    /** Moves the job to a terminal state, for which its user waits. */
     TERMINAL,
-    /** It launches tasks. */
+    /** Launches tasks of a job of a lower priority. */
     LAUNCHES,
-    /** It only records that some tasks have ended, which can wait so that several of a wide array share one write. */
+    /** Only records that tasks have ended. It can wait, so that several completions of a wide array share one write. */
     COMPLETIONS_ONLY,
-    /** It was refused before: last, so that it keeps no other from being written. */
+    /**
+     * Belongs to a job whose last write conflicted or was rejected. It is sent last, so that it does not delay other
+     * jobs.
+     */
     ISOLATED
 }
--- a/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
+++ b/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
@@ -11,7 +11,10 @@
 import org.spoolline.net.FakeEventLoop;
 import org.spoolline.simulation.Simulation;
 
-/** The first cycle of a term is deferred while the loop is late, for a bounded time; no other cycle is. */
+/**
+ * On a late event loop, the first cycle of a term must not run before the delayed heartbeats are processed, because it
+ * would know no machine. The deferral must be bounded, and no other cycle may be deferred.
+ */
 class CyclePacerTest {
     private static final Settings SETTINGS = new Simulation(1).settings("node-0");
     private static final long LATE_MS = Constants.Cycle.CYCLE_LATE_MS * 3;
--- a/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
+++ b/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
@@ -21,9 +21,12 @@
 import org.spoolline.pipeline.SubmissionCodec;
 import org.spoolline.simulation.Simulation;
 
-/** Which waiting jobs may start, and which are cancelled with others. */
+/**
+ * A job must not be released before the terminal records of all its dependencies are known to be done, and must be
+ * cancelled when any dependency is cancelled. A job inherits the priority of its dependents.
+ */
 class DependencyTrackerTest {
-    /** Long enough that a recursion would run out of stack. */
+    /** Length of a dependency chain at which a recursive traversal would overflow the stack. */
     private static final int LONG_CHAIN = 20_000;
 
     private final FakeEventLoop loop = new FakeEventLoop();
@@ -78,7 +81,9 @@
         jobs.remove(jobId(1), 2);
         dependencies.refresh();
         assertEquals(
-                DependencyTracker.Status.UNSATISFIED, dependencies.statusOf(waiting), "no record of the first one yet");
+                DependencyTracker.Status.UNSATISFIED,
+                dependencies.statusOf(waiting),
+                "the first dependency has no terminal record yet");
         storedValues.put("final/" + jobId(1), new TerminalRecord(true, 1).encode());
         loop.runTo(loop.now() + 2_000);
         dependencies.refresh();
@@ -100,7 +105,7 @@
         assertTrue(dependencies.applyStatus(waiting).cancelledWithoutAttempts());
     }
 
-    /** Level by level, a chain would be cancelled long after cancel_s. */
+    /** Cancelling one level of the chain per cycle would cancel its last job long after cancel_s. */
     @Test
     void cancelsLongDependencyChainInOneCycle() throws Exception {
         dependencies.beginTerm(1);
--- a/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
+++ b/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
@@ -32,7 +32,10 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.simulation.Simulation;
 
-/** The order of writes, and what becomes of a transaction by its answers. */
+/**
+ * Writes must be sent in order of urgency, and the outcome of a transaction must be determined correctly when responses
+ * are missing, refused or too large, so that each write is either stored or computed again.
+ */
 class PipelineWriterTest {
     private static final long TERM = 1;
     private static final Settings SETTINGS = new Simulation(1).settings("node-0");
@@ -40,9 +43,11 @@
     private final FakeEventLoop loop = new FakeEventLoop();
     private final JobTable jobs = new JobTable();
     private final List<String> outcomes = new ArrayList<>();
-    /** Bodies of the transactions that were sent. */
+    /** Request bodies of the transactions that the writer sent. */
     private final List<String> sentBodies = new ArrayList<>();
-    /** Statuses with which transactions are answered in turn; afterwards they are applied. */
+    /**
+     * HTTP statuses of the responses to the next commits, 0 for no response. Commits are applied once this is empty.
+     */
     private final Deque<Integer> commitStatuses = new ArrayDeque<>();
 
     private final Map<String, ObjectNode> storedValues = new LinkedHashMap<>();
@@ -80,7 +85,7 @@
         public void leaderObserved(String leader) {}
 
         @Override
-        public void steppedDown(String why) {}
+        public void steppedDown(String reason) {}
     }
 
     private final class OutcomeRecorder implements PipelineWriter.Listener {
@@ -111,7 +116,7 @@
         writer.beginTerm(TERM);
     }
 
-    /** A write that launches the first task of a live job. */
+    /** Returns a write that launches the first task of a job, and adds the live job when it does not exist yet. */
     private PendingWrite launch(String jobId, String urgency) throws Exception {
         if (jobs.get(jobId) == null) {
             Pipeline job = SchedulerFixture.job(jobId, "blue", "batch", urgency, 1, 1, 0, 0);
@@ -130,7 +135,7 @@
         return writer.write(byJob);
     }
 
-    /** The keys that a transaction changes, in its order. */
+    /** Returns the keys that a transaction sets, in order. */
     private static List<String> changedKeys(String transaction) {
         List<String> keys = new ArrayList<>();
         JsonNode body = Json.read(transaction.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
+++ b/src/test/java/org/spoolline/scheduler/SchedulerFixture.java
@@ -20,9 +20,9 @@
 import org.spoolline.pipeline.SubmissionCodec;
 import org.spoolline.simulation.Simulation;
 
-/** Machines of one type and jobs to plan for, shared by the tests of single planners. */
+/** Machines of one type, and jobs to plan for, in tests of the planners. */
 final class SchedulerFixture {
-    /** Steady-clock time in ms at which a plan is made. */
+    /** Time at which plans are made, in ms of the event loop's clock. */
     static final long NOW = 160_000;
 
     private static final long LEASE_MS = 16_000;
@@ -36,7 +36,9 @@
         type = new MachineType("type", cores, 0, 64, 20, 1, 1, 0.4, 10, List.of("a"));
     }
 
-    /** A job whose tasks save a checkpoint in 4 s; without a checkpoint interval they never save. */
+    /**
+     * Creates a job whose tasks take 4 s to save a checkpoint, and never save one when the checkpoint interval is 0.
+     */
     static Pipeline job(
             String jobId,
             String team,
@@ -44,18 +46,18 @@
             String urgency,
             int tasks,
             double cores,
-            double checkpointS,
+            double checkpointIntervalS,
             long acceptedAt)
             throws SubmissionCodec.Malformed {
         ObjectNode body = SampleSubmissions.body(jobId, team, shape, tasks, cores)
                 .put("urgency", urgency)
                 .put("expectS", 200)
-                .put("bookmarkS", checkpointS)
+                .put("bookmarkS", checkpointIntervalS)
                 .put("stashS", 4);
         return Pipeline.accept(SubmissionCodec.parse(body), body, acceptedAt);
     }
 
-    /** A machine on which the job's only task has run for so long. */
+    /** Adds the job and a machine on which the job's only task has run for the given time. */
     Machine addMachineRunning(String name, Pipeline job, double runtimeS) {
         Machine machine = new Machine(name, type.name(), "a", false, 0);
         job.addAttempt(new Attempt(0, 1, name, 1));
@@ -78,10 +80,10 @@
         return machine;
     }
 
-    /** By job id: the highest priority among the jobs that depend on it. */
+    /** Highest priority among the dependents of each job, by job id. */
     final Map<String, Submission.Priority> inheritedPriorities = new HashMap<>();
 
-    /** The plan a minute after the start of the day. */
+    /** Returns the plan made one minute after the start of the simulated day. */
     SchedulingPlan plan(Set<String> placeableJobs, boolean mayConsolidate) {
         return PlacementPlanner.plan(new ClusterSnapshot(
                 jobs,
