--- a/src/main/java/org/spoolline/scheduler/WriteRank.java
+++ b/src/main/java/org/spoolline/scheduler/WriteRank.java
@@ -1,6 +1,6 @@
 package org.spoolline.scheduler;
 
-/** Rank of a pending write. While the write budget is limited, the first ranks are written first. */
+/** Rank of a pending write. Writes are sent in the order of these constants until the write budget is used up. */
 enum WriteRank {
     /** Has waited for longer than {@code WRITE_STARVATION_MS} and is sent first, so that no job starves. */
     STARVED,
@@ -12,9 +12,6 @@
     LAUNCHES,
     /** Only records that tasks have ended. It can wait, so that several completions of a wide array share one write. */
     COMPLETIONS_ONLY,
-    /**
-     * Belongs to a job whose last write conflicted or was rejected. It is sent last, so that it does not delay other
-     * jobs.
-     */
+    /** The last write of the job conflicted or was rejected. It is sent last, so that it does not delay other jobs. */
     ISOLATED
 }
