--- a/src/main/java/org/spoolline/scheduler/CommitListener.java
+++ b/src/main/java/org/spoolline/scheduler/CommitListener.java
@@ -51,10 +51,7 @@
         termState.removeJob(jobId);
     }
 
-    /**
-     * Marks all attempts of the job as dirty: the changes of the write are not stored, so they have to be computed
-     * again.
-     */
+    /** Marks all attempts of the job as dirty, because the next cycle has to compute the unstored changes again. */
     @Override
     public void writeAbandoned(JobEntry entry) {
         termState
--- a/src/main/java/org/spoolline/scheduler/ImageTracker.java
+++ b/src/main/java/org/spoolline/scheduler/ImageTracker.java
@@ -35,10 +35,7 @@
         }
     }
 
-    /**
-     * Records that a task of the job starts on the machine; the machine may evict older images to cache the job's
-     * image.
-     */
+    /** Records that the machine caches the job's image to start a task, for which it may evict older images. */
     void recordUse(Machine machine, Submission spec) {
         MachineType type = catalog.types().get(machine.type());
         if (type != null) {
--- a/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
+++ b/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
@@ -33,8 +33,8 @@
 import org.spoolline.simulation.Simulation;
 
 /**
- * Writes must be sent in order of urgency, and the outcome of a transaction must be determined correctly when responses
- * are missing, refused or too large, so that each write is either stored or computed again.
+ * Writes must be sent in order of urgency. When a transaction gets no response, is refused or is too large, its outcome
+ * must still be determined correctly, so that no write is lost or applied twice.
  */
 class PipelineWriterTest {
     private static final long TERM = 1;
@@ -45,9 +45,7 @@
     private final List<String> outcomes = new ArrayList<>();
     /** Request bodies of the transactions that the writer sent. */
     private final List<String> sentBodies = new ArrayList<>();
-    /**
-     * HTTP statuses of the responses to the next commits, 0 for no response. Commits are applied once this is empty.
-     */
+    /** HTTP statuses of the responses to the next commits, 0 for no response. Once it is empty, commits are applied. */
     private final Deque<Integer> commitStatuses = new ArrayDeque<>();
 
     private final Map<String, ObjectNode> storedValues = new LinkedHashMap<>();
