--- a/src/main/java/org/spoolline/scheduler/DependencyTracker.java
+++ b/src/main/java/org/spoolline/scheduler/DependencyTracker.java
@@ -22,20 +22,24 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * The leader's view of the dependencies between jobs, derived anew in each cycle from the live jobs and the terminal
- * records of their dependencies; nothing of it is stored. A job is released only on records that were read from the
- * key-value store or whose write it has confirmed. Records never change, so a release holds across failovers.
+ * The leader's view of the dependencies between jobs. Each cycle derives it from the live jobs and from the terminal
+ * records of their dependencies; it is not stored.
+ *
+ * <p>A job is released only by terminal records that this leader read from the key-value store or whose write the store
+ * confirmed. Terminal records never change, so a release remains valid after a failover.
  */
 final class DependencyTracker {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
 
-    /** What a cycle does with a job that waits for dependencies. */
-    enum Verdict {
-        /** It waits on: the outcome of some dependency is not known. */
+    /** Combined state of the dependencies of a job that waits for them. */
+    enum Status {
+        /** The outcome of at least one dependency is not known yet; the job remains waiting. */
         UNSATISFIED,
-        /** It is released: all dependencies are done. */
+        /** All dependencies are done; the job is released. */
         SATISFIED,
-        /** It is cancelled: some dependency was cancelled, directly or with one of its own. */
+        /**
+         * At least one dependency was cancelled, by a user or because of its own dependencies; the job is cancelled.
+         */
         CANCELLED
     }
 
@@ -44,17 +48,17 @@
     private final JobTable jobs;
     private final Runnable onChange;
     private long term;
-    /** Terminal records known of jobs that others depend on. */
-    private final Map<String, TerminalRecord> records = new HashMap<>();
-    /** Jobs whose terminal record is being read. */
-    private final Set<String> reading = new HashSet<>();
-    /** Waiting jobs by each of their dependencies. */
+    /** Known terminal records of dependencies, by job id. */
+    private final Map<String, TerminalRecord> terminalRecords = new HashMap<>();
+    /** Ids of the jobs whose terminal record is being read. */
+    private final Set<String> readsInFlight = new HashSet<>();
+    /** Waiting jobs by the id of each of their dependencies. */
     private final Map<String, List<Pipeline>> dependents = new HashMap<>();
 
-    /** Verdicts other than {@link AttemptState#UNSATISFIED}. */
-    private final Map<String, Verdict> verdicts = new HashMap<>();
+    /** Status of waiting jobs by job id; {@link Status#UNSATISFIED} is not stored. */
+    private final Map<String, Status> statuses = new HashMap<>();
 
-    private final Map<String, Submission.Priority> inherited = new HashMap<>();
+    private final Map<String, Submission.Priority> inheritedPriorities = new HashMap<>();
 
     DependencyTracker(EventLoop loop, KeyValueStoreClient store, JobTable jobs, Runnable onChange) {
         this.loop = loop;
@@ -63,81 +67,90 @@
         this.onChange = onChange;
     }
 
-    /** Begins the term of this token, or with 0 ends the present one; forgets everything read in an earlier term. */
-    void begin(long token) {
+    /**
+     * Starts a term with empty state. Responses to reads of earlier terms are ignored.
+     *
+     * @param token fencing token of the term; {@link Scheduler#NO_TERM} when this node is no longer the leader
+     */
+    void beginTerm(long token) {
         term = token;
-        records.clear();
-        reading.clear();
+        terminalRecords.clear();
+        readsInFlight.clear();
         dependents.clear();
-        verdicts.clear();
-        inherited.clear();
+        statuses.clear();
+        inheritedPriorities.clear();
     }
 
-    /** Records that the terminal record of a job is stored. */
-    void recorded(String jobId, TerminalRecord record) {
-        records.put(jobId, record);
+    /** Records that the key-value store confirmed the write of a job's terminal record. */
+    void terminalRecordStored(String jobId, TerminalRecord record) {
+        terminalRecords.put(jobId, record);
     }
 
-    /** Decides on every waiting job by what is known now, and reads the records that are missing. */
+    /** Recomputes the status of each waiting job, and starts to read terminal records that are missing. */
     void refresh() {
         dependents.clear();
-        verdicts.clear();
-        inherited.clear();
+        statuses.clear();
+        inheritedPriorities.clear();
         List<JobEntry> waiting = new ArrayList<>();
         for (JobEntry entry : jobs.entries()) {
             if (entry.committed().hasUnsatisfiedDependencies()) {
                 waiting.add(entry);
                 for (String dependency : entry.committed().spec().dependencies()) {
                     dependents
-                            .computeIfAbsent(dependency, unknown -> new ArrayList<>())
+                            .computeIfAbsent(dependency, id -> new ArrayList<>())
                             .add(entry.committed());
                 }
             }
         }
-        records.keySet().retainAll(dependents.keySet());
+        terminalRecords.keySet().retainAll(dependents.keySet());
         if (waiting.isEmpty()) {
             return;
         }
         cancelDependents();
         for (JobEntry entry : waiting) {
-            if (verdictOf(entry.committed()) == Verdict.UNSATISFIED && allDependenciesDone(entry.committed())) {
-                verdicts.put(entry.committed().jobId(), Verdict.SATISFIED);
+            if (statusOf(entry.committed()) == Status.UNSATISFIED && allDependenciesDone(entry.committed())) {
+                statuses.put(entry.committed().jobId(), Status.SATISFIED);
             }
         }
         inheritPriorities(waiting);
     }
 
-    /** The decision on a job that waits for dependencies, as of the last {@link #refresh}. */
-    Verdict verdictOf(Pipeline waiting) {
-        return verdicts.getOrDefault(waiting.jobId(), Verdict.UNSATISFIED);
+    /** Returns the status of a job that waits for dependencies, as of the last {@link #refresh}. */
+    Status statusOf(Pipeline waiting) {
+        return statuses.getOrDefault(waiting.jobId(), Status.UNSATISFIED);
     }
 
-    /** The job's next value, with its verdict carried out. */
-    Pipeline step(Pipeline waiting) {
-        Pipeline next = waiting.copy();
-        switch (verdictOf(waiting)) {
+    /** Returns a copy of the job's value in which its dependencies are satisfied or it is cancelled, by its status. */
+    Pipeline applyStatus(Pipeline waiting) {
+        Pipeline proposed = waiting.copy();
+        switch (statusOf(waiting)) {
             case SATISFIED -> {
-                next.satisfyDependencies(loop.timeOfDay());
-                LOG.info("Dependencies satisfied: job={}", next.jobId());
+                proposed.satisfyDependencies(loop.timeOfDay());
+                LOG.info("Dependencies satisfied: job={}", proposed.jobId());
             }
             case CANCELLED -> {
                 waiting.spec().dependencies().stream()
                         .filter(this::isCancelled)
                         .findFirst()
-                        .ifPresent(next::cancelWithDependency);
-                LOG.info("Cancelled with a dependency: job={}", next.jobId());
+                        .ifPresent(proposed::cancelWithDependency);
+                LOG.info("Cancelled with a dependency: job={}", proposed.jobId());
             }
             case UNSATISFIED -> {}
         }
-        return next;
+        return proposed;
     }
 
-    /** By job, the highest priority among the waiting jobs that depend on it, directly or through others. */
+    /**
+     * Returns, by job id, the highest priority among the waiting jobs that depend on the job directly or transitively.
+     */
     Map<String, Submission.Priority> inheritedPriorities() {
-        return inherited;
+        return inheritedPriorities;
     }
 
-    /** Goes from the cancelled jobs to all that depend on them: a chain of any length is cancelled in one cycle. */
+    /**
+     * Marks all direct and transitive dependents of cancelled jobs as cancelled, so that a dependency chain of any
+     * length is cancelled in one cycle.
+     */
     private void cancelDependents() {
         Deque<String> cancelled = new ArrayDeque<>();
         for (String dependency : dependents.keySet()) {
@@ -147,7 +160,7 @@
         }
         while (!cancelled.isEmpty()) {
             for (Pipeline dependent : dependents.getOrDefault(cancelled.remove(), List.of())) {
-                if (verdicts.put(dependent.jobId(), Verdict.CANCELLED) == null) {
+                if (statuses.put(dependent.jobId(), Status.CANCELLED) == null) {
                     cancelled.add(dependent.jobId());
                 }
             }
@@ -157,29 +170,32 @@
     private boolean isCancelled(String jobId) {
         JobEntry live = jobs.get(jobId);
         if (live != null) {
-            return live.cancelled() || verdicts.get(jobId) == Verdict.CANCELLED;
+            return live.cancelled() || statuses.get(jobId) == Status.CANCELLED;
         }
-        TerminalRecord record = records.get(jobId);
+        TerminalRecord record = terminalRecords.get(jobId);
         return record != null && !record.done();
     }
 
-    /** True when the records of all dependencies are known; those of jobs that are no longer live are read. */
+    /**
+     * True when the terminal records of all dependencies are known; {@link #cancelDependents} has already handled the
+     * cancelled ones. Starts to read missing records of jobs that are no longer live.
+     */
     private boolean allDependenciesDone(Pipeline waiting) {
-        boolean all = true;
+        boolean allDone = true;
         for (String jobId : waiting.spec().dependencies()) {
-            TerminalRecord record = records.get(jobId);
+            TerminalRecord record = terminalRecords.get(jobId);
             if (record == null) {
-                all = false;
+                allDone = false;
                 if (jobs.get(jobId) == null) {
-                    readRecord(jobId);
+                    readTerminalRecord(jobId);
                 }
             }
         }
-        return all;
+        return allDone;
     }
 
-    private void readRecord(String jobId) {
-        if (!reading.add(jobId)) {
+    private void readTerminalRecord(String jobId) {
+        if (!readsInFlight.add(jobId)) {
             return;
         }
         long readTerm = term;
@@ -189,39 +205,46 @@
                 return;
             }
             if (read.answered() && read.value().exists()) {
-                reading.remove(jobId);
-                records.put(jobId, TerminalRecord.decode(read.value().value()));
+                readsInFlight.remove(jobId);
+                terminalRecords.put(jobId, TerminalRecord.decode(read.value().value()));
                 onChange.run();
                 return;
             }
-            // No answer, or the watch has not delivered the live value of the dependency yet.
+            // The store did not respond, or the dependency is still live and the watch has not delivered its value yet.
+            // Reading is retried in both cases.
             loop.after(Constants.Time.RETRY_MS, () -> {
                 if (term == readTerm) {
-                    reading.remove(jobId);
+                    readsInFlight.remove(jobId);
                     onChange.run();
                 }
             });
         });
     }
 
-    /** Passes priorities on to dependencies, from the highest priority down so that each job is visited once. */
+    /**
+     * Propagates the priorities of waiting jobs to their dependencies, from the highest priority to the lowest, so that
+     * each dependency is visited only once.
+     */
     private void inheritPriorities(List<JobEntry> waiting) {
         List<Pipeline> byPriority = new ArrayList<>();
         for (JobEntry entry : waiting) {
-            if (!entry.cancelled() && verdictOf(entry.committed()) != Verdict.CANCELLED) {
+            if (!entry.cancelled() && statusOf(entry.committed()) != Status.CANCELLED) {
                 byPriority.add(entry.committed());
             }
         }
         byPriority.sort(
                 Comparator.comparing((Pipeline job) -> job.spec().priority()).reversed());
         for (Pipeline dependent : byPriority) {
-            Deque<String> inheriting = new ArrayDeque<>(dependent.spec().dependencies());
-            while (!inheriting.isEmpty()) {
-                String jobId = inheriting.remove();
+            Deque<String> dependenciesToVisit =
+                    new ArrayDeque<>(dependent.spec().dependencies());
+            while (!dependenciesToVisit.isEmpty()) {
+                String jobId = dependenciesToVisit.remove();
                 JobEntry live = jobs.get(jobId);
                 if (live != null
-                        && inherited.putIfAbsent(jobId, dependent.spec().priority()) == null) {
-                    inheriting.addAll(live.committed().spec().dependencies());
+                        && inheritedPriorities.putIfAbsent(
+                                        jobId, dependent.spec().priority())
+                                == null) {
+                    dependenciesToVisit.addAll(live.committed().spec().dependencies());
                 }
             }
         }
--- a/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
+++ b/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
@@ -20,7 +20,7 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 
-/** Turns a plan's placements into attempts, as many as the job's stored value can take. */
+/** Creates attempts for the placements of a plan, as many as fit into the stored value of each job. */
 final class LaunchPreparer {
     private static final Logger LOG = LoggerFactory.getLogger(LaunchPreparer.class);
 
@@ -29,8 +29,8 @@
     private final GangLaunchOrder gangLaunches;
     private final ImageTracker images;
     private final Counters counters;
-    private final StallMonitor stalls;
-    private final JobPauses fullJobs;
+    private final StallMonitor stallMonitor;
+    private final JobPauses jobsWithFullValue;
 
     LaunchPreparer(SchedulerContext context, GangLaunchOrder gangLaunches, ImageTracker images) {
         this.store = context.store();
@@ -38,87 +38,101 @@
         this.gangLaunches = gangLaunches;
         this.images = images;
         this.counters = context.counters();
-        this.stalls = context.stalls();
-        this.fullJobs = new JobPauses(context.loop());
+        this.stallMonitor = context.stalls();
+        this.jobsWithFullValue = new JobPauses(context.loop());
     }
 
-    /** Forgets everything of an earlier term. */
+    /** Clears the state of the previous term. */
     void clear() {
-        fullJobs.clear();
+        jobsWithFullValue.clear();
     }
 
     /**
-     * Jobs whose value has lately had no space for all placed attempts. Their placements would leave capacity unused in
-     * cycle after cycle, so they are not placed for a while.
+     * Returns the jobs whose stored value recently had no space for all placed attempts. Planning them again in each
+     * cycle would assign them capacity that they cannot use, so the planner skips them for
+     * {@link Constants.Cycle#VALUE_FULL_BACKOFF_MS}.
      */
-    JobPauses fullJobs() {
-        fullJobs.expire();
-        return fullJobs;
+    JobPauses jobsWithFullValue() {
+        jobsWithFullValue.expire();
+        return jobsWithFullValue;
     }
 
-    /** Adds attempts for the placements of every job to the values to be written. */
+    /** Adds attempts for the plan's placements, by job id, to the values that the cycle writes. */
     void prepare(Map<String, List<Placement>> placements, CycleState state) {
-        placements.forEach((jobId, placed) -> prepare(jobId, placed, state));
+        placements.forEach((jobId, jobPlacements) -> prepare(jobId, jobPlacements, state));
     }
 
     private void prepare(String jobId, List<Placement> placements, CycleState state) {
         JobEntry entry = jobs.get(jobId);
         PendingWrite write = state.pendingWrites().get(jobId);
-        Pipeline next = write == null ? entry.committed().copy() : write.next();
-        long number = attemptNumber(next);
-        Set<AttemptId> withImage = new HashSet<>();
-        List<Attempt> added = addAttempts(next, number, placements, withImage);
-        withdrawUntilValueFits(next, added);
+        Pipeline proposed = write == null ? entry.committed().copy() : write.proposed();
+        long attemptNumber = attemptNumber(proposed);
+        Set<AttemptId> attemptsWithImage = new HashSet<>();
+        List<Attempt> added = addAttempts(proposed, attemptNumber, placements, attemptsWithImage);
+        withdrawUntilValueFits(proposed, added);
         if (added.size() < placements.size()) {
-            fullJobs.pause(jobId, Constants.Cycle.VALUE_FULL_BACKOFF_MS);
+            jobsWithFullValue.pause(jobId, Constants.Cycle.VALUE_FULL_BACKOFF_MS);
         }
-        if (next.spec().gang()) {
-            gangLaunches.launchLast(jobId, withImage);
+        if (proposed.spec().gang()) {
+            gangLaunches.launchLast(jobId, attemptsWithImage);
         }
         if (!added.isEmpty()) {
             counters.count(Event.TASK_PLACED, added.size());
-            stalls.progress();
+            stallMonitor.progress();
         }
         if (!added.isEmpty() && write == null) {
-            state.addWrite(entry, next);
+            state.addWrite(entry, proposed);
         }
         LOG.info(
-                "Placed tasks: job={} placed={} planned={} attempt={}", jobId, added.size(), placements.size(), number);
+                "Placed tasks: job={} placed={} planned={} attempt={}",
+                jobId,
+                added.size(),
+                placements.size(),
+                attemptNumber);
     }
 
-    /** Members that complete a gang share the number of the members that it has. */
+    /**
+     * Returns the number for new attempts of the job. New members of a partly placed gang get the attempt number of its
+     * existing members.
+     */
     private static long attemptNumber(Pipeline job) {
         boolean completesGang = job.spec().gang() && !job.attempts().isEmpty();
         return completesGang ? job.attempts().iterator().next().number() : job.nextAttemptNumber();
     }
 
-    /** Adds an attempt for each placement; {@code withImage} receives those whose machine has the image. */
-    private List<Attempt> addAttempts(Pipeline job, long number, List<Placement> placements, Set<AttemptId> withImage) {
+    /**
+     * Adds an attempt for each placement, and to {@code attemptsWithImage} those whose machine has cached the image.
+     */
+    private List<Attempt> addAttempts(
+            Pipeline job, long attemptNumber, List<Placement> placements, Set<AttemptId> attemptsWithImage) {
         List<Attempt> added = new ArrayList<>();
         for (Placement placement : placements) {
             Machine machine = placement.machine();
-            Attempt attempt = new Attempt(placement.task(), number, machine.name(), machine.incarnation());
+            Attempt attempt = new Attempt(placement.task(), attemptNumber, machine.name(), machine.incarnation());
             job.addAttempt(attempt);
             added.add(attempt);
             if (machine.hasImage(job.spec().image())) {
-                withImage.add(AttemptId.of(job.jobId(), attempt));
+                attemptsWithImage.add(AttemptId.of(job.jobId(), attempt));
             }
             images.recordUse(machine, job.spec());
         }
         return added;
     }
 
-    /** Withdraws attempts from the end until the value fits: all of a gang, half of an array at a time. */
+    /**
+     * Withdraws the last added attempts until the value fits: for a gang all of them at once, for an array half of the
+     * remaining ones at a time.
+     */
     private void withdrawUntilValueFits(Pipeline job, List<Attempt> added) {
         while (!added.isEmpty() && !valueFits(job)) {
-            int withdrawn = job.spec().gang() ? added.size() : (added.size() + 1) / 2;
-            for (int i = 0; i < withdrawn; i++) {
+            int withdrawCount = job.spec().gang() ? added.size() : (added.size() + 1) / 2;
+            for (int i = 0; i < withdrawCount; i++) {
                 job.withdrawAttempt(added.remove(added.size() - 1));
             }
         }
     }
 
-    /** True while the value can still take the end of every task, in any order, and a cancellation. */
+    /** True when the value leaves space to record the completion of every task, in any order, and a cancellation. */
     private boolean valueFits(Pipeline job) {
         int bytes = Json.bytes(job.encode()).length;
         int limit = store.safeValueBytes();
--- a/src/main/java/org/spoolline/scheduler/PipelineWriter.java
+++ b/src/main/java/org/spoolline/scheduler/PipelineWriter.java
@@ -11,28 +11,33 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Stores what the scheduling cycles decide: each changed value once, the most urgent first, in few transactions that hold
- * only under this leadership.
+ * Writes the jobs that a scheduling cycle changed to the key-value store: each job once, the most urgent first, in as
+ * few transactions as possible. Each transaction is conditional on this node still being the leader.
  */
 final class PipelineWriter {
-    /** Is notified of what becomes of pending writes. */
+    /** Receives the outcome of pending writes. */
     interface Listener {
-        /** The write is part of a transaction that was sent. */
-        void sent(PendingWrite write);
+        /** Called when the write was sent as part of a transaction. */
+        void writeSent(PendingWrite write);
 
-        /** The write is stored, with this revision. */
-        void applied(PendingWrite write, long revision);
+        /** Called when the write was stored at the given revision of the key-value store. */
+        void writeApplied(PendingWrite write, long revision);
 
-        /** The write to this job is not stored and never will be. */
-        void abandoned(JobEntry entry);
+        /** Called when the write of the job was not stored and can no longer be stored. */
+        void writeAbandoned(JobEntry entry);
 
-        /** The outcome of a transaction, or of a write that was read again, is known; true when it was applied. */
-        void transactionDecided(boolean applied);
+        /**
+         * Called when the outcome of a transaction is known, and for each job that was read again to determine the
+         * outcome of its write.
+         *
+         * @param applied true when the store confirmed that the transaction was applied; false for a job read again
+         */
+        void outcomeKnown(boolean applied);
     }
 
     private final KeyValueStoreClient store;
-    private final RefusedWrites refused;
-    private final WriteOrder order;
+    private final RefusedWrites refusedWrites;
+    private final WriteOrder writeOrder;
     private final TransactionCommitter committer;
     private final WriteLog writeLog;
 
@@ -44,45 +49,50 @@
             Listener listener,
             Counters counters) {
         this.store = store;
-        this.refused = new RefusedWrites(loop);
+        this.refusedWrites = new RefusedWrites(loop);
         this.writeLog = new WriteLog(counters);
-        this.order = new WriteOrder(loop, store, refused);
-        this.committer = new TransactionCommitter(loop, store, election, jobs, refused, listener, writeLog);
+        this.writeOrder = new WriteOrder(loop, store, refusedWrites);
+        this.committer = new TransactionCommitter(loop, store, election, jobs, refusedWrites, listener, writeLog);
     }
 
-    /** Begins the term of this token, or with 0 ends the present one; answers to transactions in flight are ignored. */
-    void begin(long token) {
-        committer.begin(token);
-        order.clear();
-        refused.clear();
+    /**
+     * Starts a term with empty state. Responses to transactions in flight are ignored.
+     *
+     * @param token fencing token of the term; {@link Scheduler#NO_TERM} when this node is no longer the leader
+     */
+    void beginTerm(long token) {
+        committer.beginTerm(token);
+        writeOrder.clear();
+        refusedWrites.clear();
     }
 
     /** True when no transaction is in flight. */
-    boolean idle() {
-        return committer.idle();
+    boolean isIdle() {
+        return committer.isIdle();
     }
 
     /**
-     * Sends writes in few transactions, as far as the write budget goes.
+     * Sends writes, most urgent first, until the write budget or the limit of transactions in flight is reached.
      *
-     * @param writes by job id
-     * @return true when all were sent; the next cycle decides the others again
+     * @param writes pending writes by job id
+     * @return true when all writes were sent; the next cycle computes the unsent ones again
      */
     boolean write(Map<String, PendingWrite> writes) {
-        List<PendingWrite> ordered = order.order(writes);
+        List<PendingWrite> writesToSend = writeOrder.writesToSend(writes);
         Map<String, PendingWrite> unsent = new LinkedHashMap<>(writes);
         int allowance = store.availableWrites();
         WriteBatch batch = new WriteBatch();
-        for (PendingWrite write : ordered) {
+        for (PendingWrite write : writesToSend) {
             if (allowance < EncodedWrite.operations(write) || !committer.maySend()) {
                 break;
             }
             EncodedWrite encoded = EncodedWrite.of(write);
             if (encoded.valueBytes() > store.limits().valueBytes()) {
-                // A value from before the limits were lowered: it is written once enough of its tasks have ended.
+                // The job was stored before the store lowered its limit on value sizes. The write is deferred until
+                // enough tasks have ended for the value to fit.
                 continue;
             }
-            if (mustStartBatch(batch, encoded)) {
+            if (needsNewBatch(batch, encoded)) {
                 send(batch);
                 batch = new WriteBatch();
             }
@@ -90,17 +100,17 @@
             unsent.remove(write.jobId());
             allowance -= encoded.operations();
         }
-        boolean lastSent = sendIfPossible(batch);
+        boolean lastBatchSent = sendIfPossible(batch);
         writeLog.deferred(unsent.values(), allowance);
-        return lastSent && unsent.isEmpty();
+        return lastBatchSent && unsent.isEmpty();
     }
 
-    private boolean mustStartBatch(WriteBatch batch, EncodedWrite next) {
-        boolean isolated = refused.isIsolated(next.write().jobId()) && !batch.isEmpty();
-        return isolated || !batch.fits(next, store.limits().txnOps());
+    private boolean needsNewBatch(WriteBatch batch, EncodedWrite encoded) {
+        boolean isolated = refusedWrites.isIsolated(encoded.write().jobId()) && !batch.isEmpty();
+        return isolated || !batch.fits(encoded, store.limits().txnOps());
     }
 
-    /** True when nothing of the batch is left to be sent. */
+    /** Sends the batch if another transaction may be sent; returns true when the batch was sent or is empty. */
     private boolean sendIfPossible(WriteBatch batch) {
         if (batch.isEmpty()) {
             return true;
@@ -114,7 +124,7 @@
 
     private void send(WriteBatch batch) {
         for (PendingWrite write : batch.pendingWrites()) {
-            order.sent(write.jobId());
+            writeOrder.markSent(write.jobId());
         }
         committer.send(batch);
     }
--- a/src/main/java/org/spoolline/scheduler/StallInspector.java
+++ b/src/main/java/org/spoolline/scheduler/StallInspector.java
@@ -12,7 +12,10 @@
 import org.spoolline.pipeline.AttemptId;
 import org.spoolline.pipeline.Pipeline;
 
-/** Finds why a leader places nothing, as far as it knows. Looks at every job and machine, so it is to be called rarely. */
+/**
+ * Determines why a leader places no tasks, as far as it knows. It iterates over all jobs and machines, so callers run
+ * it rarely.
+ */
 final class StallInspector {
     private final LeaderElection election;
     private final MachineTypeCatalog catalog;
@@ -33,8 +36,14 @@
         this.writer = writer;
     }
 
-    /** The present situation, given whether the last scheduling cycle and the last plan failed. */
-    StallMonitor.Situation inspect(List<Machine> schedulable, boolean lastCycleFailed, boolean lastPlanFailed) {
+    /**
+     * Returns the current situation: the first stall reason that applies, the waiting jobs and the free capacity.
+     *
+     * @param schedulableMachines machines that send heartbeats and accept tasks
+     * @param lastCycleFailed     true when the last scheduling cycle failed
+     * @param lastPlanFailed      true when the planner failed in the last scheduling cycle
+     */
+    StallMonitor.Situation inspect(List<Machine> schedulableMachines, boolean lastCycleFailed, boolean lastPlanFailed) {
         int dependentJobs = 0;
         int readyJobs = 0;
         for (JobEntry entry : jobs.entries()) {
@@ -48,13 +57,14 @@
                 readyJobs++;
             }
         }
-        StallMonitor.Reason reason = reason(readyJobs, schedulable.isEmpty(), lastCycleFailed, lastPlanFailed);
-        double freeCores = schedulable.stream().mapToDouble(this::freeCores).sum();
-        return new StallMonitor.Situation(reason, dependentJobs + readyJobs, schedulable.size(), freeCores);
+        StallMonitor.Reason reason = reason(readyJobs, schedulableMachines.isEmpty(), lastCycleFailed, lastPlanFailed);
+        double freeCores =
+                schedulableMachines.stream().mapToDouble(this::freeCores).sum();
+        return new StallMonitor.Situation(reason, dependentJobs + readyJobs, schedulableMachines.size(), freeCores);
     }
 
     private StallMonitor.Reason reason(
-            int readyJobs, boolean noMachine, boolean lastCycleFailed, boolean lastPlanFailed) {
+            int readyJobs, boolean noSchedulableMachine, boolean lastCycleFailed, boolean lastPlanFailed) {
         if (!election.hasValidLease()) {
             return StallMonitor.Reason.LEASE_EXPIRED;
         }
@@ -70,10 +80,10 @@
         if (readyJobs == 0) {
             return StallMonitor.Reason.UNSATISFIED_DEPENDENCIES;
         }
-        if (noMachine) {
+        if (noSchedulableMachine) {
             return StallMonitor.Reason.NO_SCHEDULABLE_MACHINE;
         }
-        return writer.idle() ? StallMonitor.Reason.NO_CAPACITY_OR_QUOTA : StallMonitor.Reason.WRITES_BLOCKED;
+        return writer.isIdle() ? StallMonitor.Reason.NO_CAPACITY_OR_QUOTA : StallMonitor.Reason.WRITES_BLOCKED;
     }
 
     private double freeCores(Machine machine) {
