--- a/src/main/java/org/spoolline/NodeStatus.java
+++ b/src/main/java/org/spoolline/NodeStatus.java
@@ -57,7 +57,7 @@
 
     private String stalled() {
         StallMonitor.Situation situation =
-                election.isLeader() ? stalls.lastSeen().orElse(null) : null;
+                election.isLeader() ? stalls.lastSituation().orElse(null) : null;
         return situation == null ? null : situation.toString();
     }
 }
--- a/src/main/java/org/spoolline/autoscaler/CloudClient.java
+++ b/src/main/java/org/spoolline/autoscaler/CloudClient.java
@@ -62,19 +62,19 @@
     }
 
     private void call(String method, String path, byte[] body, Consumer<Http.Reply> onReply) {
-        long termOfCall = term;
+        long callTerm = term;
         http.call(address, method, path, body, Constants.Autoscaling.CLOUD_TIMEOUT_MS, reply -> {
-            if (term == termOfCall) {
+            if (term == callTerm) {
                 onReply.accept(reply);
             }
         });
     }
 
     /** Runs the action after the pause before a retry, unless the term ends before. */
-    void afterRetryPause(Runnable action) {
-        long termOfCall = term;
+    void afterRetryDelay(Runnable action) {
+        long callTerm = term;
         loop.after(Constants.Time.RETRY_MS * 2, () -> {
-            if (term == termOfCall) {
+            if (term == callTerm) {
                 action.run();
             }
         });
--- a/src/main/java/org/spoolline/autoscaler/MachineListing.java
+++ b/src/main/java/org/spoolline/autoscaler/MachineListing.java
@@ -68,52 +68,52 @@
                 Constants.Autoscaling.MACHINE_LIST_INTERVAL_MS, settings.cloud().listLagMs() / 2);
         if (now - requestedAt >= intervalMs && cloud.tryAcquire(now)) {
             requestedAt = now;
-            new Reading(now).requestPage("");
+            new FullRead(now).requestPage("");
         }
     }
 
     /** One reading of the whole list. */
-    private final class Reading {
+    private final class FullRead {
         private final long startedAt;
-        private final Set<String> listed = new HashSet<>();
+        private final Set<String> listedNames = new HashSet<>();
 
-        Reading(long startedAt) {
+        FullRead(long startedAt) {
             this.startedAt = startedAt;
         }
 
         void requestPage(String after) {
-            cloud.get(CloudCodec.listPath(after, Constants.Store.LIST_PAGE), reply -> receivePage(after, reply));
+            cloud.get(CloudCodec.listPath(after, Constants.Store.LIST_PAGE), reply -> handlePage(after, reply));
         }
 
-        private void receivePage(String after, Http.Reply reply) {
+        private void handlePage(String after, Http.Reply reply) {
             if (!reply.ok() || !election.hasValidLease()) {
                 return;
             }
             CloudCodec.ListPage page = CloudCodec.parseList(reply.body());
-            String last = after;
+            String lastName = after;
             for (CloudCodec.ListedMachine machine : page.machines()) {
-                last = machine.name();
-                listed.add(last);
+                lastName = machine.name();
+                listedNames.add(lastName);
                 observe(machine);
             }
             if (page.hasNext()) {
                 cloud.acquireWithDebt();
-                requestPage(last);
+                requestPage(lastName);
                 return;
             }
             complete = true;
-            terminateUnlisted(listed, startedAt);
+            terminateUnlisted(listedNames, startedAt);
             onChange.run();
         }
     }
 
     private void observe(CloudCodec.ListedMachine listed) {
         long now = loop.now();
-        boolean unknown = machines.get(listed.name()) == null;
+        boolean isNew = machines.get(listed.name()) == null;
         Machine machine = machines.getOrRegister(
                 listed.name(), listed.type(), listed.zone(), listed.spot(), now - listed.heldMs());
         machine.markListed(now);
-        if (unknown) {
+        if (isNew) {
             LOG.info(
                     "Machine found in cloud list: machine={} type={} zone={} status={}",
                     listed.name(),
@@ -132,12 +132,12 @@
      * Marks machines as terminated that were listed before and no longer are. A list may be as old as twice the lag, so
      * one that was requested sooner than that after a machine's last listing proves nothing.
      */
-    private void terminateUnlisted(Set<String> listed, long listRequestedAt) {
+    private void terminateUnlisted(Set<String> listedNames, long listRequestedAt) {
         long maxAgeMs = 2 * settings.cloud().listLagMs() + Constants.Time.MARGIN_MS;
         for (Machine machine : machines.all()) {
             if (!machine.terminated()
                     && machine.lastListedAt() >= 0
-                    && !listed.contains(machine.name())
+                    && !listedNames.contains(machine.name())
                     && listRequestedAt - machine.lastListedAt() > maxAgeMs) {
                 LOG.info("Machine terminated: machine={} reason=not_listed", machine.name());
                 machine.markTerminated();
--- a/src/main/java/org/spoolline/autoscaler/ReleasePolicy.java
+++ b/src/main/java/org/spoolline/autoscaler/ReleasePolicy.java
@@ -27,7 +27,7 @@
     private final Map<String, MachineType> types;
     private final Input input;
     private final long now;
-    private double keptCores;
+    private double retainedCores;
 
     ReleasePolicy(Settings settings, Map<String, MachineType> types, Input input) {
         this.settings = settings;
@@ -47,12 +47,12 @@
             }
         }
         // Evaluated for each machine, whatever else applies: one that is kept counts towards the recent demand.
-        boolean idle = isIdle(machine) && !isKeptForRecentDemand(machine);
+        boolean idle = isIdle(machine) && !isRetainedForRecentDemand(machine);
         if (hasExceededBootTimeout(machine)) {
             return Optional.of(ReleaseReason.BOOT_TIMEOUT);
         }
-        if (isLost(machine)) {
-            return Optional.of(ReleaseReason.LOST);
+        if (hasHeartbeatTimedOut(machine)) {
+            return Optional.of(ReleaseReason.HEARTBEAT_TIMEOUT);
         }
         if (downlinkUnreachable) {
             return Optional.of(ReleaseReason.DOWNLINK_UNREACHABLE);
@@ -73,7 +73,7 @@
         return !machine.hasReported() && now - Math.max(machine.knownSince(), input.electedAt()) > timeoutMs;
     }
 
-    private boolean isLost(Machine machine) {
+    private boolean hasHeartbeatTimedOut(Machine machine) {
         return machine.hasReported() && now - machine.lastHeartbeatAt() > Constants.Autoscaling.MACHINE_LOST_MS;
     }
 
@@ -82,30 +82,30 @@
      * never received a response of this leader can't confirm that, and only its termination proves it.
      */
     private boolean isDownlinkUnreachable(Machine machine, boolean holdsWork) {
-        long toleratedMs = holdsWork ? settings.leaseExpiryMs() : Constants.Autoscaling.MACHINE_LOST_MS;
-        return machine.downlinkUnreachable() && now - machine.downlinkUnreachableSince() > toleratedMs;
+        long timeoutMs = holdsWork ? settings.leaseExpiryMs() : Constants.Autoscaling.MACHINE_LOST_MS;
+        return machine.downlinkUnreachable() && now - machine.downlinkUnreachableSince() > timeoutMs;
     }
 
     private boolean isIdle(Machine machine) {
-        long idleMs = machine.spot()
+        long idleTimeoutMs = machine.spot()
                 ? settings.operator().idleSpotMs()
                 : settings.operator().idleMs();
         return machine.hasReported()
-                && now - machine.idleSince() > idleMs
+                && now - machine.idleSince() > idleTimeoutMs
                 && now - machine.knownSince() > Constants.Autoscaling.MIN_CHARGE_MS;
     }
 
     /** Keeps idle machines up to the recent demand, for about a boot time: the next job needn't wait for one. */
-    private boolean isKeptForRecentDemand(Machine machine) {
+    private boolean isRetainedForRecentDemand(Machine machine) {
         MachineType type = types.get(machine.type());
         if (machine.spot() || type == null) {
             return false;
         }
         boolean idleForBootTime = now - machine.idleSince() > type.bootS() * 1000;
-        if (idleForBootTime || keptCores + type.cores() > input.recentDemandCores()) {
+        if (idleForBootTime || retainedCores + type.cores() > input.recentDemandCores()) {
             return false;
         }
-        keptCores += type.cores();
+        retainedCores += type.cores();
         return true;
     }
 }
--- a/src/main/java/org/spoolline/autoscaler/ReleaseReason.java
+++ b/src/main/java/org/spoolline/autoscaler/ReleaseReason.java
@@ -5,7 +5,7 @@
     /** It sent no heartbeat within a multiple of its type's boot time. */
     BOOT_TIMEOUT("boot_timeout"),
     /** It sent no heartbeat for long. */
-    LOST("heartbeat_timeout"),
+    HEARTBEAT_TIMEOUT("heartbeat_timeout"),
     /** Its heartbeats arrive, but the responses to them don't, so that no launch would. */
     DOWNLINK_UNREACHABLE("downlink_unreachable"),
     /** It had no work for long. */
@@ -13,15 +13,15 @@
     /** It was drained, and its work has ended. */
     DRAINED("drained");
 
-    private final String logText;
+    private final String label;
 
-    ReleaseReason(String logText) {
-        this.logText = logText;
+    ReleaseReason(String label) {
+        this.label = label;
     }
 
     /** The reason as log lines show it. */
     @Override
     public String toString() {
-        return logText;
+        return label;
     }
 }
--- a/src/main/java/org/spoolline/autoscaler/ScaleIn.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleIn.java
@@ -53,7 +53,7 @@
     void release(double recentDemandCores, Predicate<String> holdsWork, long now) {
         ReleasePolicy policy = new ReleasePolicy(
                 settings, catalog.types(), new ReleasePolicy.Input(electedAt, recentDemandCores, holdsWork, now));
-        List<Machine> released = new ArrayList<>();
+        List<Machine> toRelease = new ArrayList<>();
         for (Machine machine : machines.all()) {
             if (machine.terminated() || releasing.contains(machine.name())) {
                 continue;
@@ -61,10 +61,10 @@
             Optional<ReleaseReason> reason = policy.reasonToRelease(machine);
             if (reason.isPresent()) {
                 drain(machine, reason.get());
-                released.add(machine);
+                toRelease.add(machine);
             }
         }
-        for (List<Machine> batch : Iterables.partition(released, Constants.Autoscaling.SCALE_IN_BATCH_MAX)) {
+        for (List<Machine> batch : Iterables.partition(toRelease, Constants.Autoscaling.SCALE_IN_BATCH_MAX)) {
             if (cloud.tryAcquire(now)) {
                 requestRelease(batch);
             }
@@ -86,15 +86,15 @@
 
     private void requestRelease(List<Machine> batch) {
         batch.forEach(machine -> releasing.add(machine.name()));
-        cloud.post(CloudCodec.RELEASE_PATH, CloudCodec.releaseRequest(batch), reply -> receive(reply, batch));
+        cloud.post(CloudCodec.RELEASE_PATH, CloudCodec.releaseRequest(batch), reply -> handleReply(reply, batch));
     }
 
-    private void receive(Http.Reply reply, List<Machine> batch) {
+    private void handleReply(Http.Reply reply, List<Machine> batch) {
         if (reply.ok()) {
             batch.forEach(Machine::markTerminated);
         } else {
             // Requests in every cycle would not shorten an outage of the cloud.
-            cloud.afterRetryPause(() -> batch.forEach(machine -> releasing.remove(machine.name())));
+            cloud.afterRetryDelay(() -> batch.forEach(machine -> releasing.remove(machine.name())));
         }
         onChange.run();
     }
--- a/src/main/java/org/spoolline/autoscaler/ScaleOut.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOut.java
@@ -28,7 +28,7 @@
     private final MachineRegistry machines;
     private final Runnable onChange;
     /** Number of machines requested, for offers whose request has no definite reply yet. */
-    private final Map<ScaleOutPlanner.Offer, Integer> requested = new HashMap<>();
+    private final Map<ScaleOutPlanner.Offer, Integer> pendingCounts = new HashMap<>();
     /** Time in ms until which an offer without capacity is not requested again. */
     private final Map<ScaleOutPlanner.Offer, Long> backoffUntil = new HashMap<>();
 
@@ -52,7 +52,7 @@
     /** Starts a term in which nothing has been requested. */
     void beginTerm() {
         lastRequestNumber = 0;
-        requested.clear();
+        pendingCounts.clear();
         backoffUntil.clear();
     }
 
@@ -63,7 +63,7 @@
         plan.forEach((offer, count) -> {
             if (cloud.tryAcquire(now)) {
                 int batch = Math.min(count, Constants.Autoscaling.SCALE_OUT_BATCH_MAX);
-                requested.put(offer, batch);
+                pendingCounts.put(offer, batch);
                 lastRequestNumber++;
                 request(offer, batch, "r-" + cloud.term() + "-" + lastRequestNumber);
             }
@@ -71,7 +71,7 @@
     }
 
     private boolean isAvailable(ScaleOutPlanner.Offer offer, long now) {
-        return !requested.containsKey(offer) && backoffUntil.getOrDefault(offer, Long.MIN_VALUE) <= now;
+        return !pendingCounts.containsKey(offer) && backoffUntil.getOrDefault(offer, Long.MIN_VALUE) <= now;
     }
 
     /** The offers of machines that are expected to start, one entry for each machine. */
@@ -82,7 +82,7 @@
                 starting.add(new ScaleOutPlanner.Offer(machine.type(), machine.zone(), machine.spot()));
             }
         }
-        requested.forEach((offer, count) -> {
+        pendingCounts.forEach((offer, count) -> {
             for (int i = 0; i < count; i++) {
                 starting.add(offer);
             }
@@ -98,10 +98,10 @@
         cloud.post(
                 CloudCodec.ACQUIRE_PATH,
                 CloudCodec.acquireRequest(requestId, offer, count),
-                reply -> receive(reply, offer, count, requestId));
+                reply -> handleReply(reply, offer, count, requestId));
     }
 
-    private void receive(Http.Reply reply, ScaleOutPlanner.Offer offer, int count, String requestId) {
+    private void handleReply(Http.Reply reply, ScaleOutPlanner.Offer offer, int count, String requestId) {
         if (reply.ok()) {
             registerAcquired(CloudCodec.parseAcquired(reply.body()), offer, count, requestId);
         } else if (reply.status() == SERVICE_UNAVAILABLE || reply.status() == BAD_REQUEST) {
@@ -112,7 +112,7 @@
                     offer.spot(),
                     requestId,
                     reply.status());
-            requested.remove(offer);
+            pendingCounts.remove(offer);
             backOff(offer, loop.now());
             onChange.run();
         } else {
@@ -125,7 +125,7 @@
         for (String name : names) {
             machines.getOrRegister(name, offer.type(), offer.zone(), offer.spot(), now);
         }
-        requested.remove(offer);
+        pendingCounts.remove(offer);
         LOG.info(
                 "Scaled out: acquired={} requested={} type={} zone={} spot={} request={}",
                 names.size(),
@@ -149,7 +149,7 @@
      * While the lease has lapsed it waits on.
      */
     private void retry(ScaleOutPlanner.Offer offer, int count, String requestId) {
-        cloud.afterRetryPause(() -> {
+        cloud.afterRetryDelay(() -> {
             if (election.hasValidLease()) {
                 cloud.acquireWithDebt();
                 request(offer, count, requestId);
--- a/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
@@ -15,12 +15,12 @@
 /** Decides which machines to acquire for tasks without capacity. A plan depends on its arguments alone. */
 public final class ScaleOutPlanner {
     /** Seconds of boot time that weigh as much as the price: an offer that takes as long counts twice its price. */
-    private static final double BOOT_S_PER_PRICE = 100;
+    private static final double BOOT_S_DOUBLING_WEIGHT = 100;
 
     private final Map<String, MachineType> types;
     private final Predicate<Offer> available;
     private final List<Capacity> capacities = new ArrayList<>();
-    private final Map<Offer, Integer> acquired = new LinkedHashMap<>();
+    private final Map<Offer, Integer> toAcquire = new LinkedHashMap<>();
 
     private ScaleOutPlanner(Map<String, MachineType> types, Predicate<Offer> available) {
         this.types = types;
@@ -61,9 +61,9 @@
             }
         }
         for (ResourceDemand demand : demands) {
-            planner.meet(demand);
+            planner.coverDemand(demand);
         }
-        return planner.acquired;
+        return planner.toAcquire;
     }
 
     private Capacity addCapacity(Offer offer) {
@@ -73,7 +73,7 @@
     }
 
     /** Allocates capacity for the tasks, first on machines that are starting, then on further ones to be acquired. */
-    private void meet(ResourceDemand demand) {
+    private void coverDemand(ResourceDemand demand) {
         Submission job = demand.job().spec();
         int unmet = demand.tasks();
         for (Capacity capacity : capacities) {
@@ -85,7 +85,7 @@
                 return;
             }
             unmet -= allocate(addCapacity(offer.get()), job, unmet);
-            acquired.merge(offer.get(), 1, Integer::sum);
+            toAcquire.merge(offer.get(), 1, Integer::sum);
         }
     }
 
@@ -106,9 +106,9 @@
     private Optional<Offer> cheapestOffer(Submission job, int tasks) {
         List<WeightedOffer> offers = new ArrayList<>();
         for (MachineType type : types.values()) {
-            int fitting = type.canRun(job) ? Math.min(tasks, type.tasksPerMachine(job)) : 0;
-            if (fitting > 0) {
-                addOffers(job, type, fitting, offers);
+            int tasksPerMachine = type.canRun(job) ? Math.min(tasks, type.tasksPerMachine(job)) : 0;
+            if (tasksPerMachine > 0) {
+                addWeightedOffers(job, type, tasksPerMachine, offers);
             }
         }
         return offers.stream()
@@ -116,21 +116,21 @@
                 .map(WeightedOffer::offer);
     }
 
-    private void addOffers(Submission job, MachineType type, int fitting, List<WeightedOffer> offers) {
+    private void addWeightedOffers(Submission job, MachineType type, int tasksPerMachine, List<WeightedOffer> offers) {
         for (String zone : type.zones()) {
             if (job.zone() != null && !job.zone().equals(zone)) {
                 continue;
             }
             if (job.allowsSpot()) {
-                addOffer(new Offer(type.name(), zone, true), type, type.spotPrice() / fitting, offers);
+                addWeightedOffer(new Offer(type.name(), zone, true), type, type.spotPrice() / tasksPerMachine, offers);
             }
-            addOffer(new Offer(type.name(), zone, false), type, type.price() / fitting, offers);
+            addWeightedOffer(new Offer(type.name(), zone, false), type, type.price() / tasksPerMachine, offers);
         }
     }
 
-    private void addOffer(Offer offer, MachineType type, double pricePerTask, List<WeightedOffer> offers) {
+    private void addWeightedOffer(Offer offer, MachineType type, double pricePerTask, List<WeightedOffer> offers) {
         if (available.test(offer)) {
-            offers.add(new WeightedOffer(offer, pricePerTask * (1 + type.bootS() / BOOT_S_PER_PRICE)));
+            offers.add(new WeightedOffer(offer, pricePerTask * (1 + type.bootS() / BOOT_S_DOUBLING_WEIGHT)));
         }
     }
 }
--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
@@ -90,40 +90,44 @@
     }
 
     /** Reads one key. */
-    public void get(String key, Consumer<ReadResult> done) {
+    public void get(String key, Consumer<ReadResult> onResult) {
         connection.send(
                 "GET",
                 KeyValueStoreCodec.keyPath(key),
                 null,
                 Constants.Store.STORE_TIMEOUT_MS,
-                reply -> done.accept(KeyValueStoreCodec.decodeRead(key, reply)));
+                reply -> onResult.accept(KeyValueStoreCodec.decodeRead(key, reply)));
     }
 
     /**
      * Reads all keys under a prefix, page by page; a missing page fails the whole listing. Takes its own requests from the
      * rate limits.
      */
-    public void list(String prefix, Consumer<ListResult> done) {
-        listFrom(prefix, "", new ArrayList<>(), 0, done);
+    public void list(String prefix, Consumer<ListResult> onResult) {
+        listFrom(prefix, "", new ArrayList<>(), 0, onResult);
     }
 
     /** Reads the page after a key and all that follow; {@code firstRevision} is 0 while no page has been read. */
     private void listFrom(
-            String prefix, String afterKey, List<VersionedValue> read, long firstRevision, Consumer<ListResult> done) {
+            String prefix,
+            String afterKey,
+            List<VersionedValue> values,
+            long firstRevision,
+            Consumer<ListResult> onResult) {
         rateLimits.acquireReadWithDebt();
         String path = KeyValueStoreCodec.listPath(prefix, afterKey);
         connection.send("GET", path, null, Constants.Store.STORE_TIMEOUT_MS, reply -> {
             if (!reply.ok()) {
-                done.accept(ListResult.noAnswer());
+                onResult.accept(ListResult.noAnswer());
                 return;
             }
             KeyValueStoreCodec.Page page = KeyValueStoreCodec.decodePage(reply);
             long revision = firstRevision == 0 ? page.revision() : firstRevision;
-            read.addAll(page.values());
-            if (page.last() || read.isEmpty()) {
-                done.accept(ListResult.of(read, revision));
+            values.addAll(page.values());
+            if (page.last() || values.isEmpty()) {
+                onResult.accept(ListResult.of(values, revision));
             } else {
-                listFrom(prefix, read.get(read.size() - 1).key(), read, revision, done);
+                listFrom(prefix, values.get(values.size() - 1).key(), values, revision, onResult);
             }
         });
     }
@@ -131,16 +135,16 @@
     /**
      * Waits up to {@code waitMs} for changes under a prefix after a revision. Takes its own request from the rate limits.
      */
-    public void watch(String prefix, long afterRevision, long waitMs, Consumer<WatchResult> done) {
+    public void watch(String prefix, long afterRevision, long waitMs, Consumer<WatchResult> onResult) {
         rateLimits.acquireReadWithDebt();
         connection.sendWatch(
                 KeyValueStoreCodec.watchPath(prefix, afterRevision, waitMs),
                 waitMs + Constants.Store.STORE_TIMEOUT_MS,
-                reply -> done.accept(KeyValueStoreCodec.decodeWatch(afterRevision, reply)));
+                reply -> onResult.accept(KeyValueStoreCodec.decodeWatch(afterRevision, reply)));
     }
 
     /** Sends a transaction once. A rejection for its size puts the announced limits in force. */
-    public void commit(Transaction transaction, Consumer<CommitResult> done) {
+    public void commit(Transaction transaction, Consumer<CommitResult> onResult) {
         connection.send(
                 "POST",
                 KeyValueStoreCodec.COMMIT_PATH,
@@ -151,30 +155,30 @@
                     if (result.outcome() == CommitOutcome.TOO_LARGE) {
                         rateLimits.enforceAnnounced();
                     }
-                    done.accept(result);
+                    onResult.accept(result);
                 });
     }
 
     /** Creates a lease; empty when the store refused or gave no answer. Takes its own request from the rate limits. */
-    public void createLease(long ttlMs, Consumer<OptionalLong> done) {
+    public void createLease(long ttlMs, Consumer<OptionalLong> onResult) {
         acquireWithDebt(0);
         connection.send(
                 "POST",
                 KeyValueStoreCodec.LEASES_PATH,
                 KeyValueStoreCodec.encodeCreateLease(ttlMs),
                 Constants.Store.STORE_TIMEOUT_MS,
-                reply -> done.accept(KeyValueStoreCodec.decodeLease(reply)));
+                reply -> onResult.accept(KeyValueStoreCodec.decodeLease(reply)));
     }
 
     /** Renews a lease for its whole time. Takes its own request from the rate limits. */
-    public void renewLease(long lease, Consumer<LeaseRenewal> done) {
+    public void renewLease(long lease, Consumer<LeaseRenewal> onResult) {
         acquireWithDebt(0);
         connection.send(
                 "POST",
                 KeyValueStoreCodec.renewLeasePath(lease),
                 KeyValueStoreCodec.encodeRenewLease(),
                 renewTimeoutMs,
-                reply -> done.accept(KeyValueStoreCodec.decodeRenewal(reply)));
+                reply -> onResult.accept(KeyValueStoreCodec.decodeRenewal(reply)));
     }
 
     /**
--- a/src/main/java/org/spoolline/kvstore/LatencyLog.java
+++ b/src/main/java/org/spoolline/kvstore/LatencyLog.java
@@ -12,36 +12,36 @@
  */
 final class LatencyLog {
     private static final Logger LOG = LoggerFactory.getLogger(LatencyLog.class);
-    private static final double MEDIAN = 50;
-    private static final double TAIL = 99;
+    private static final double MEDIAN_PERCENTILE = 50;
+    private static final double TAIL_PERCENTILE = 99;
 
     private final Histogram latenciesMs =
             new Histogram(Constants.Store.STORE_TIMEOUT_MS * 2, Constants.Logging.LATENCY_DIGITS);
     private long refused;
     private long unanswered;
-    private long loggedAt;
+    private long lastLoggedAt;
 
     /** A log whose first line is due a minute from now. */
     LatencyLog(long now) {
-        loggedAt = now;
+        lastLoggedAt = now;
     }
 
     /**
      * Records one request.
      *
      * @param status the HTTP status of the answer, that of {@link Http.Reply#NONE} when none came
-     * @param tookMs ms from sending the request to its answer
+     * @param latencyMs ms from sending the request to its answer
      * @param now the event loop's time, in ms
      */
-    void record(int status, long tookMs, long now) {
+    void record(int status, long latencyMs, long now) {
         if (status == Http.Reply.NONE.status()) {
             unanswered++;
         } else if (KeyValueStoreCodec.isRefusal(status)) {
             refused++;
         } else {
-            latenciesMs.recordValue(Math.min(tookMs, latenciesMs.getHighestTrackableValue()));
+            latenciesMs.recordValue(Math.min(latencyMs, latenciesMs.getHighestTrackableValue()));
         }
-        if (now - loggedAt >= Constants.Logging.LATENCY_LOG_MS) {
+        if (now - lastLoggedAt >= Constants.Logging.LATENCY_LOG_MS) {
             logAndReset(now);
         }
     }
@@ -50,14 +50,14 @@
         LOG.info(
                 "Key-value store latency: answers={} p50_ms={} p99_ms={} max_ms={} refused={} unanswered={}",
                 latenciesMs.getTotalCount(),
-                latenciesMs.getValueAtPercentile(MEDIAN),
-                latenciesMs.getValueAtPercentile(TAIL),
+                latenciesMs.getValueAtPercentile(MEDIAN_PERCENTILE),
+                latenciesMs.getValueAtPercentile(TAIL_PERCENTILE),
                 latenciesMs.getMaxValue(),
                 refused,
                 unanswered);
         latenciesMs.reset();
         refused = 0;
         unanswered = 0;
-        loggedAt = now;
+        lastLoggedAt = now;
     }
 }
--- a/src/main/java/org/spoolline/kvstore/StoreConnection.java
+++ b/src/main/java/org/spoolline/kvstore/StoreConnection.java
@@ -33,12 +33,12 @@
     }
 
     /** Sends a request that the store answers at once. */
-    void send(String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> done) {
+    void send(String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> onReply) {
         long sentAt = loop.now();
         http.call(address, method, path, body, timeoutMs, reply -> {
-            observe(reply.status(), sentAt);
+            recordContact(reply.status(), sentAt);
             latencies.record(reply.status(), loop.now() - sentAt, loop.now());
-            done.accept(reply);
+            onReply.accept(reply);
         });
     }
 
@@ -46,16 +46,16 @@
      * Sends a watch. The store answers it long after it was sent, so the answer proves that the store was reachable when
      * it came, and its latency is not recorded.
      */
-    void sendWatch(String path, long timeoutMs, Consumer<Http.Reply> done) {
+    void sendWatch(String path, long timeoutMs, Consumer<Http.Reply> onReply) {
         http.call(address, "GET", path, null, timeoutMs, reply -> {
-            observe(reply.status(), loop.now());
-            done.accept(reply);
+            recordContact(reply.status(), loop.now());
+            onReply.accept(reply);
         });
     }
 
-    private void observe(int status, long reachedAt) {
+    private void recordContact(int status, long contactAt) {
         if (status != Http.Reply.NONE.status() && !KeyValueStoreCodec.isRefusal(status)) {
-            lastReachedAt = Math.max(lastReachedAt, reachedAt);
+            lastReachedAt = Math.max(lastReachedAt, contactAt);
             everReached = true;
         }
     }
--- a/src/main/java/org/spoolline/kvstore/StoreRateLimits.java
+++ b/src/main/java/org/spoolline/kvstore/StoreRateLimits.java
@@ -66,13 +66,13 @@
     /** Sets this node's share of the rate limits: the leader writes far more than the others. */
     void setLeader(boolean leading) {
         leader = leading;
-        double share = share();
+        double share = rateShare();
         reservedRequests = leader ? enforced.requestsPerS() * Constants.Store.LEADER_REQUEST_RESERVE : 0;
         requests.setRate(enforced.requestsPerS() * share, loop.now());
         writes.setRate(enforced.writesPerS() * share, loop.now());
     }
 
-    private double share() {
+    private double rateShare() {
         if (controllers == 1) {
             return 1;
         }
@@ -110,10 +110,10 @@
 
     /** Writes available now for work that can wait; a part of them is kept for users' requests. */
     int availableWrites() {
-        double forUsers = enforced.writesPerS() * Constants.Store.USER_WRITE_RESERVE;
-        double byWrites = writes.available(loop.now()) - forUsers;
-        double byRequests = requests.available(loop.now()) * enforced.txnOps();
-        return (int) Math.max(0, Math.min(byWrites, byRequests));
+        double reservedWrites = enforced.writesPerS() * Constants.Store.USER_WRITE_RESERVE;
+        double writeBudget = writes.available(loop.now()) - reservedWrites;
+        double requestBudget = requests.available(loop.now()) * enforced.txnOps();
+        return (int) Math.max(0, Math.min(writeBudget, requestBudget));
     }
 
     /** True when less than half of a leader's writes of one second is available. */
--- a/src/main/java/org/spoolline/metrics/Counters.java
+++ b/src/main/java/org/spoolline/metrics/Counters.java
@@ -37,7 +37,7 @@
     }
 
     /** How often the event has occurred. */
-    public long of(Event event) {
+    public long get(Event event) {
         return counts[event.ordinal()];
     }
 
--- a/src/main/java/org/spoolline/metrics/StallMonitor.java
+++ b/src/main/java/org/spoolline/metrics/StallMonitor.java
@@ -46,53 +46,53 @@
     public record Situation(Reason reason, int waitingJobs, int schedulableMachines, double freeCores) {}
 
     private final EventLoop loop;
-    private long progressAt;
-    private long checkedAt;
-    private Optional<Situation> lastSeen = Optional.empty();
+    private long lastPlacementAt;
+    private long lastInspectedAt;
+    private Optional<Situation> lastSituation = Optional.empty();
 
     /** A monitor that counts from now. */
     public StallMonitor(EventLoop loop) {
         this.loop = loop;
-        begin();
+        beginTerm();
     }
 
     /** Begins a term. */
-    public void begin() {
-        progressAt = loop.now();
-        checkedAt = loop.now();
-        lastSeen = Optional.empty();
+    public void beginTerm() {
+        lastPlacementAt = loop.now();
+        lastInspectedAt = loop.now();
+        lastSituation = Optional.empty();
     }
 
     /** Records that a task was placed. */
-    public void progress() {
-        progressAt = loop.now();
-        lastSeen = Optional.empty();
+    public void recordPlacement() {
+        lastPlacementAt = loop.now();
+        lastSituation = Optional.empty();
     }
 
     /** Inspects the situation if nothing was placed for too long, and logs it if jobs wait. */
     public void check(Supplier<Situation> inspection) {
         long now = loop.now();
-        if (now - Math.max(progressAt, checkedAt) < Constants.Logging.STALL_MS) {
+        if (now - Math.max(lastPlacementAt, lastInspectedAt) < Constants.Logging.STALL_MS) {
             return;
         }
-        checkedAt = now;
-        Situation seen = inspection.get();
-        if (seen.waitingJobs() == 0) {
-            lastSeen = Optional.empty();
+        lastInspectedAt = now;
+        Situation situation = inspection.get();
+        if (situation.waitingJobs() == 0) {
+            lastSituation = Optional.empty();
             return;
         }
-        lastSeen = Optional.of(seen);
+        lastSituation = Optional.of(situation);
         LOG.warn(
                 "No task placed: reason={} duration_s={} waiting_jobs={} schedulable_machines={} free_cores={}",
-                seen.reason(),
-                (now - progressAt) / 1000,
-                seen.waitingJobs(),
-                seen.schedulableMachines(),
-                Math.round(seen.freeCores()));
+                situation.reason(),
+                (now - lastPlacementAt) / 1000,
+                situation.waitingJobs(),
+                situation.schedulableMachines(),
+                Math.round(situation.freeCores()));
     }
 
     /** The situation at the last inspection; empty when a task was placed since, or no job waited. */
-    public Optional<Situation> lastSeen() {
-        return lastSeen;
+    public Optional<Situation> lastSituation() {
+        return lastSituation;
     }
 }
--- a/src/main/java/org/spoolline/net/Http.java
+++ b/src/main/java/org/spoolline/net/Http.java
@@ -51,8 +51,8 @@
 
     /** Serves requests on the event loop. */
     public interface Handler {
-        /** Serves a request; the response is handed to {@code answer} exactly once, now or later. */
-        void handle(Request request, Consumer<Response> answer);
+        /** Serves a request; the response is handed to {@code onResponse} exactly once, now or later. */
+        void handle(Request request, Consumer<Response> onResponse);
     }
 
     /** Sends requests; used on the event loop. */
@@ -64,8 +64,8 @@
          * @param path      with the query, if any
          * @param body      JSON, or null for a request without a body
          * @param timeoutMs ms after which the call ends without a response
-         * @param done      runs on the event loop exactly once
+         * @param onReply      runs on the event loop exactly once
          */
-        void call(String target, String method, String path, byte[] body, long timeoutMs, Consumer<Reply> done);
+        void call(String target, String method, String path, byte[] body, long timeoutMs, Consumer<Reply> onReply);
     }
 }
--- a/src/main/java/org/spoolline/net/IdleConnections.java
+++ b/src/main/java/org/spoolline/net/IdleConnections.java
@@ -25,7 +25,7 @@
     }
 
     /** Takes the connection to the target that was used last; null when none is open. */
-    ClientConnection take(String target) {
+    ClientConnection acquire(String target) {
         Deque<ClientConnection> connections = byTarget.get(target);
         while (connections != null && !connections.isEmpty()) {
             ClientConnection connection = connections.pop();
@@ -45,15 +45,16 @@
     }
 
     private void closeExcess() {
-        Iterator<Deque<ClientConnection>> eldestFirst = byTarget.values().iterator();
-        while (size > capacity && eldestFirst.hasNext()) {
-            Deque<ClientConnection> connections = eldestFirst.next();
+        Iterator<Deque<ClientConnection>> leastRecentlyUsedFirst =
+                byTarget.values().iterator();
+        while (size > capacity && leastRecentlyUsedFirst.hasNext()) {
+            Deque<ClientConnection> connections = leastRecentlyUsedFirst.next();
             while (size > capacity && !connections.isEmpty()) {
                 IoUtils.safeClose(connections.pollLast());
                 size--;
             }
             if (connections.isEmpty()) {
-                eldestFirst.remove();
+                leastRecentlyUsedFirst.remove();
             }
         }
     }
--- a/src/main/java/org/spoolline/net/Timeout.java
+++ b/src/main/java/org/spoolline/net/Timeout.java
@@ -12,32 +12,32 @@
  */
 final class Timeout {
     private final XnioExecutor executor;
-    private final Runnable expired;
+    private final Runnable onExpired;
     private XnioExecutor.Key key;
 
     /**
      * Starts the timeout.
      *
      * @param clockMs monotonic time in ms
-     * @param expired runs on the executor, unless the timeout is cancelled before
+     * @param onExpired runs on the executor, unless the timeout is cancelled before
      */
-    Timeout(XnioExecutor executor, LongSupplier clockMs, long timeoutMs, Runnable expired) {
+    Timeout(XnioExecutor executor, LongSupplier clockMs, long timeoutMs, Runnable onExpired) {
         this.executor = executor;
-        this.expired = expired;
-        long due = clockMs.getAsLong() + timeoutMs;
-        key = executor.executeAfter(() -> fire(clockMs.getAsLong() - due), timeoutMs, TimeUnit.MILLISECONDS);
+        this.onExpired = onExpired;
+        long dueAt = clockMs.getAsLong() + timeoutMs;
+        key = executor.executeAfter(() -> fire(clockMs.getAsLong() - dueAt), timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     private void fire(long lateMs) {
         if (lateMs <= Constants.Time.MARGIN_MS) {
-            expired.run();
+            onExpired.run();
         } else {
             key = executor.executeAfter(
-                    expired, Math.min(lateMs, Constants.Network.LATE_GRACE_MS), TimeUnit.MILLISECONDS);
+                    onExpired, Math.min(lateMs, Constants.Network.LATE_GRACE_MS), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Keeps {@code expired} from running; without effect once it has run. */
+    /** Keeps {@code onExpired} from running; without effect once it has run. */
     void cancel() {
         key.remove();
     }
--- a/src/main/java/org/spoolline/net/UndertowCall.java
+++ b/src/main/java/org/spoolline/net/UndertowCall.java
@@ -27,34 +27,39 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Consumer<Http.Reply> done;
+    private final Consumer<Http.Reply> onReply;
     private ClientConnection connection;
     private Timeout timeout;
     private boolean ended;
 
     /** A call that is not started yet; {@code body} is null for a request without one. */
     UndertowCall(
-            UndertowCaller caller, String target, String method, String path, byte[] body, Consumer<Http.Reply> done) {
+            UndertowCaller caller,
+            String target,
+            String method,
+            String path,
+            byte[] body,
+            Consumer<Http.Reply> onReply) {
         this.caller = caller;
         this.target = target;
         this.method = method;
         this.path = path;
         this.body = body;
-        this.done = done;
+        this.onReply = onReply;
     }
 
     /** Sends the request on an idle connection, or on a new one when there is none. */
     void start(long timeoutMs) {
         timeout = caller.startTimeout(timeoutMs, this::fail);
-        ClientConnection idle = caller.takeIdle(target);
+        ClientConnection idle = caller.acquireIdle(target);
         if (idle != null) {
             send(idle);
         } else {
-            caller.connect(target, new Step<>(this::connected));
+            caller.connect(target, new StepCallback<>(this::onConnected));
         }
     }
 
-    private void connected(ClientConnection opened) {
+    private void onConnected(ClientConnection opened) {
         if (ended) {
             IoUtils.safeClose(opened);
         } else {
@@ -62,8 +67,8 @@
         }
     }
 
-    private void send(ClientConnection on) {
-        connection = on;
+    private void send(ClientConnection clientConnection) {
+        connection = clientConnection;
         ClientRequest request =
                 new ClientRequest().setMethod(new HttpString(method)).setPath(path);
         request.getRequestHeaders().put(Headers.HOST, target);
@@ -71,11 +76,11 @@
             request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
             request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
         }
-        on.sendRequest(request, new Step<>(this::requestStarted));
+        clientConnection.sendRequest(request, new StepCallback<>(this::onRequestStarted));
     }
 
-    private void requestStarted(ClientExchange exchange) {
-        exchange.setResponseListener(new Step<>(this::responseStarted));
+    private void onRequestStarted(ClientExchange exchange) {
+        exchange.setResponseListener(new StepCallback<>(this::onResponseStarted));
         if (body != null) {
             write(exchange.getRequestChannel(), ByteBuffer.wrap(body));
         }
@@ -105,7 +110,7 @@
         }
     }
 
-    private void responseStarted(ClientExchange exchange) {
+    private void onResponseStarted(ClientExchange exchange) {
         ByteBuffer chunk = ByteBuffer.allocate(Constants.Network.READ_CHUNK_BYTES);
         read(exchange.getResponseChannel(), chunk, new ByteArrayOutputStream(), exchange.getResponse());
     }
@@ -143,7 +148,7 @@
         } else {
             caller.release(target, connection);
         }
-        caller.deliver(new Http.Reply(response.getResponseCode(), received), done);
+        caller.deliver(new Http.Reply(response.getResponseCode(), received), onReply);
     }
 
     private static boolean closesConnection(ClientResponse response) {
@@ -157,20 +162,20 @@
         ended = true;
         timeout.cancel();
         IoUtils.safeClose(connection);
-        caller.deliver(Http.Reply.NONE, done);
+        caller.deliver(Http.Reply.NONE, onReply);
     }
 
     /** Goes on with the call after a step of Undertow's that succeeded, and fails the call after one that did not. */
-    private final class Step<T> implements ClientCallback<T> {
-        private final Consumer<T> next;
+    private final class StepCallback<T> implements ClientCallback<T> {
+        private final Consumer<T> onSuccess;
 
-        Step(Consumer<T> next) {
-            this.next = next;
+        StepCallback(Consumer<T> onSuccess) {
+            this.onSuccess = onSuccess;
         }
 
         @Override
         public void completed(T result) {
-            next.accept(result);
+            onSuccess.accept(result);
         }
 
         @Override
--- a/src/main/java/org/spoolline/net/UndertowCaller.java
+++ b/src/main/java/org/spoolline/net/UndertowCaller.java
@@ -34,18 +34,18 @@
 
     @Override
     public void call(
-            String target, String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> done) {
-        new UndertowCall(this, target, method, path, body, done).start(timeoutMs);
+            String target, String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> onReply) {
+        new UndertowCall(this, target, method, path, body, onReply).start(timeoutMs);
     }
 
-    /** Runs {@code expired} on the event loop unless the timeout is cancelled before. */
-    Timeout startTimeout(long timeoutMs, Runnable expired) {
-        return new Timeout(thread, XnioEventLoop::clockMs, timeoutMs, expired);
+    /** Runs {@code onExpired} on the event loop unless the timeout is cancelled before. */
+    Timeout startTimeout(long timeoutMs, Runnable onExpired) {
+        return new Timeout(thread, XnioEventLoop::clockMs, timeoutMs, onExpired);
     }
 
     /** An idle connection to the target; null when there is none. */
-    ClientConnection takeIdle(String target) {
-        return idle.take(target);
+    ClientConnection acquireIdle(String target) {
+        return idle.acquire(target);
     }
 
     /** Opens a new connection; the callback runs on the event loop. */
@@ -59,7 +59,8 @@
     }
 
     /** Hands a reply to the code that made the call; an exception there must not reach Undertow. */
-    void deliver(Http.Reply reply, Consumer<Http.Reply> done) {
-        boundary.run(reply.answered() ? "response callback" : "callback of unanswered call", () -> done.accept(reply));
+    void deliver(Http.Reply reply, Consumer<Http.Reply> onReply) {
+        boundary.run(
+                reply.answered() ? "response callback" : "callback of unanswered call", () -> onReply.accept(reply));
     }
 }
--- a/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
+++ b/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
@@ -77,7 +77,7 @@
         }
         if (!added.isEmpty()) {
             counters.count(Event.TASK_PLACED, added.size());
-            stalls.progress();
+            stalls.recordPlacement();
         }
         if (!added.isEmpty() && write == null) {
             state.addWrite(entry, next);
--- a/src/main/java/org/spoolline/scheduler/Scheduler.java
+++ b/src/main/java/org/spoolline/scheduler/Scheduler.java
@@ -87,7 +87,7 @@
         cycle.begin();
         pacer.begin();
         lastCycleFailed = false;
-        stalls.begin();
+        stalls.beginTerm();
         jobWatcher.beginTerm(token);
         tick(token);
     }
--- a/src/test/java/org/spoolline/api/JobApiStatusTest.java
+++ b/src/test/java/org/spoolline/api/JobApiStatusTest.java
@@ -184,7 +184,7 @@
         assertEquals(List.of(NOT_NOW, NOT_NOW), responses);
         fixture.spendBudgetUntilLow();
         responses = requestStatuses("run-1", "run-1");
-        fixture.loop.standStill(40);
+        fixture.loop.advanceWithoutTimers(40);
         fixture.spendBudget();
         fixture.loop.runTo(fixture.loop.now());
         assertEquals(List.of(TOO_MANY_REQUESTS, TOO_MANY_REQUESTS), responses);
--- a/src/test/java/org/spoolline/autoscaler/CloudCodecTest.java
+++ b/src/test/java/org/spoolline/autoscaler/CloudCodecTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void requestsHaveTheCloudsFieldsInOrder() {
+    void encodesRequests() {
         ScaleOutPlanner.Offer offer = new ScaleOutPlanner.Offer("small", "a", true);
         assertEquals(
                 "{\"hire\":\"r-7-1\",\"build\":\"small\",\"yard\":\"a\",\"standby\":true,\"count\":3}",
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void listPagesAreRead() {
+    void parsesListPage() {
         CloudCodec.ListPage page = CloudCodec.parseList(
                 bytes(
                         """
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void malformedRepliesNameNoMachines() {
+    void parsesMalformedReplyAsEmpty() {
         assertEquals(new CloudCodec.ListPage(List.of(), false), CloudCodec.parseList(bytes("no json")));
         assertEquals(List.of(), CloudCodec.parseAcquired(bytes("{}")));
         assertEquals(List.of("m-1"), CloudCodec.parseAcquired(bytes("{\"spoolers\":[\"m-1\"]}")));
--- a/src/test/java/org/spoolline/autoscaler/ReleasePolicyTest.java
+++ b/src/test/java/org/spoolline/autoscaler/ReleasePolicyTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aMachineWithoutHeartbeatIsReleasedAfterTheBootTimeout() {
+    void releasesMachineWithoutHeartbeatAfterBootTimeout() {
         long timeoutMs = (long) (BOOT_MS * Constants.Autoscaling.BOOT_TIMEOUT_FACTOR);
         assertEquals(Optional.empty(), policy(0, false).reasonToRelease(machine(NOW - timeoutMs)));
         assertEquals(
@@ -51,20 +51,21 @@
     }
 
     @Test
-    void aLostMachineIsReleased() {
+    void releasesMachineAfterHeartbeatTimeout() {
         Machine machine = withHeartbeat(Constants.Autoscaling.MACHINE_LOST_MS + 1);
-        assertEquals(Optional.of(ReleaseReason.LOST), policy(0, false).reasonToRelease(machine));
+        assertEquals(
+                Optional.of(ReleaseReason.HEARTBEAT_TIMEOUT), policy(0, false).reasonToRelease(machine));
     }
 
     @Test
-    void aMachineThatHoldsWorkStaysAndCountsAsBusy() {
+    void keepsMachineWithWorkAndMarksItBusy() {
         Machine machine = withHeartbeat(Constants.Autoscaling.MACHINE_LOST_MS + 1);
         assertEquals(Optional.empty(), policy(0, true).reasonToRelease(machine));
         assertEquals(NOW, machine.idleSince());
     }
 
     @Test
-    void anIdleMachineIsKeptForRecentDemandUntilABootTimeHasPassed() {
+    void keepsIdleMachineForRecentDemandUpToBootTime() {
         Machine machine = withHeartbeat(0);
         machine.markBusy(NOW - BOOT_MS);
         assertEquals(Optional.of(ReleaseReason.IDLE), policy(7, false).reasonToRelease(machine));
@@ -74,7 +75,7 @@
     }
 
     @Test
-    void onlyAsManyIdleMachinesAreKeptAsTheRecentDemandNeeds() {
+    void keepsIdleMachinesOnlyUpToRecentDemand() {
         Machine machine = withHeartbeat(0);
         machine.markBusy(NOW - BOOT_MS);
         ReleasePolicy policy = policy(12, false);
@@ -83,7 +84,7 @@
     }
 
     @Test
-    void aDrainedMachineWithoutWorkIsReleased() {
+    void releasesDrainedMachineWithoutWork() {
         Machine machine = withHeartbeat(0);
         machine.markBusy(NOW);
         assertEquals(Optional.empty(), policy(0, false).reasonToRelease(machine));
--- a/src/test/java/org/spoolline/codec/TreeCodecTest.java
+++ b/src/test/java/org/spoolline/codec/TreeCodecTest.java
@@ -38,7 +38,7 @@
                 " {\"a\" : [ ] } ",
                 "{\"a\":1} trailing"
             })
-    void readsAndWritesJsonAsTheMapperDoes(String json) throws IOException {
+    void readsAndWritesJsonLikeObjectMapper(String json) throws IOException {
         JsonNode expected = MAPPER.readTree(json);
         JsonNode read = JSON.read(json.getBytes(StandardCharsets.UTF_8));
         assertEquals(expected, read);
@@ -48,17 +48,17 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "{\"a\"", "{\"a\":", "[1,", "nul", "{\"a\":1]", "{a:1}", "]", "\"open"})
-    void refusesWhatIsNoJson(String json) {
+    void rejectsMalformedJson(String json) {
         assertThrows(IOException.class, () -> JSON.read(json));
     }
 
     @Test
-    void emptyContentIsAMissingNode() throws IOException {
+    void readsEmptyContentAsMissingNode() throws IOException {
         assertTrue(JSON.read(new byte[0]).isMissingNode());
     }
 
     @Test
-    void keepsBytesAndNumbersInCbor() throws IOException {
+    void readsAndWritesCborLikeObjectMapper() throws IOException {
         ObjectNode tree = JsonNodeFactory.instance
                 .objectNode()
                 .put("body", new byte[] {0, -1, 7})
@@ -73,7 +73,7 @@
 
     /** Parsers tell the end of a cut message in their own ways: by an exception or by a missing token. */
     @Test
-    void refusesCborThatIsCutAnywhere() throws IOException {
+    void rejectsTruncatedCbor() throws IOException {
         ObjectNode tree = JsonNodeFactory.instance.objectNode().put("body", new byte[] {1, 2, 3});
         tree.putArray("list").add(1).add("two").addObject().put("three", 3);
         byte[] bytes = CBOR.write(tree);
--- a/src/test/java/org/spoolline/election/LeaderElectionTest.java
+++ b/src/test/java/org/spoolline/election/LeaderElectionTest.java
@@ -116,7 +116,7 @@
         election.start();
         loop.runTo(1_500);
         assertTrue(election.hasValidLease());
-        loop.standStill(SETTINGS.renewMs() * 2);
+        loop.advanceWithoutTimers(SETTINGS.renewMs() * 2);
         election.renewIfDue();
         election.renewIfDue();
         assertEquals(1, renewals(), "one renewal, not one for each request");
--- a/src/test/java/org/spoolline/kvstore/KeyValueStoreClientTest.java
+++ b/src/test/java/org/spoolline/kvstore/KeyValueStoreClientTest.java
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void aLeaderHasALargerShareThanAFollower() {
-        loop.standStill(10_000);
+    void leaderGetsLargerRateShareThanFollower() {
+        loop.advanceWithoutTimers(10_000);
         assertEquals(30, acquired());
         store.setLeader(true);
-        loop.standStill(10_000);
+        loop.advanceWithoutTimers(10_000);
         // A tenth of all requests is kept for the leader's own cycles.
         assertEquals(60, acquired());
     }
 
     @Test
-    void aTransactionRejectedForItsSizePutsTheAnnouncedLimitsInForce() {
+    void rejectionForSizeEnforcesAnnouncedLimits() {
         assertEquals(2_048, store.safeValueBytes());
         assertEquals(8_192, store.limits().valueBytes());
         reply = new Http.Reply(400, Json.error("too large"));
@@ -78,19 +78,19 @@
         assertEquals(List.of(CommitOutcome.TOO_LARGE), outcomes);
         assertEquals(ANNOUNCED, store.limits());
         assertEquals(16, store.maxConditions());
-        loop.standStill(10_000);
+        loop.advanceWithoutTimers(10_000);
         assertEquals(12, acquired());
     }
 
     @Test
-    void anExpiredLeaseLeavesTheLimitsAsTheyAre() {
+    void expiredLeaseKeepsLimits() {
         reply = new Http.Reply(400, Json.error("no such lease"));
         store.commit(new Transaction(), result -> assertEquals(CommitOutcome.LEASE_EXPIRED, result.outcome()));
         assertEquals(8_192, store.limits().valueBytes());
     }
 
     @Test
-    void aRefusalDoesNotProveThatTheStoreIsReachable() {
+    void refusalDoesNotCountAsReachable() {
         assertFalse(store.reachable());
         reply = new Http.Reply(503, new byte[0]);
         store.probe();
@@ -100,7 +100,7 @@
         assertTrue(store.reachable());
         store.probe();
         assertEquals(2, paths.size(), "nothing is sent while the last answer is recent");
-        loop.standStill(4_000);
+        loop.advanceWithoutTimers(4_000);
         assertFalse(store.reachable());
     }
 }
--- a/src/test/java/org/spoolline/kvstore/KeyValueStoreCodecTest.java
+++ b/src/test/java/org/spoolline/kvstore/KeyValueStoreCodecTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aTransactionIsWrittenWithItsFieldsInOrder() {
+    void encodesTransaction() {
         Transaction transaction = new Transaction()
                 .requireVersion("leader", 0)
                 .requireVersion("token", 4)
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void outcomesOfATransactionAreToldApart() {
+    void decodesCommitOutcomes() {
         CommitResult applied = KeyValueStoreCodec.decodeCommit(reply(200, "{\"ledger\":12}"));
         assertEquals(new CommitResult(CommitOutcome.APPLIED, 12, List.of()), applied);
         CommitResult conflict = KeyValueStoreCodec.decodeCommit(reply(409, "{\"failed\":[\"a\",\"b\"]}"));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aMissingKeyIsAnAnswerAndARefusalIsNone() {
+    void missingKeyCountsAsAnsweredAndRefusalDoesNot() {
         assertFalse(KeyValueStoreCodec.decodeRead("k", reply(404, "")).value().exists());
         assertFalse(KeyValueStoreCodec.decodeRead("k", reply(503, "")).answered());
         assertFalse(KeyValueStoreCodec.decodeRead("k", Http.Reply.NONE).answered());
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aWatchTellsWritesFromDeletionsAndALostHistoryFromNoAnswer() {
+    void decodesWatchEventsAndCompaction() {
         WatchResult watched = KeyValueStoreCodec.decodeWatch(
                 5,
                 reply(
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aPageNamesTheRevisionAndWhetherMoreFollow() {
+    void decodesPageWithRevisionAndLastFlag() {
         KeyValueStoreCodec.Page page = KeyValueStoreCodec.decodePage(
                 reply(200, "{\"pairs\":[{\"key\":\"a\",\"v\":1,\"stamp\":2}],\"ledger\":8,\"hasNext\":true}"));
         assertEquals("a", page.values().get(0).key());
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void leasesAreCreatedAndRenewed() {
+    void decodesLeaseCreationAndRenewal() {
         assertEquals(OptionalLong.of(7), KeyValueStoreCodec.decodeLease(reply(200, "{\"ticket\":7}")));
         assertEquals(OptionalLong.empty(), KeyValueStoreCodec.decodeLease(reply(200, "{}")));
         assertEquals(OptionalLong.empty(), KeyValueStoreCodec.decodeLease(reply(503, "{\"ticket\":7}")));
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void pathsCarryThePrefixAndWhereToGoOn() {
+    void buildsListWatchAndLeasePaths() {
         assertEquals("/keys?prefix=job/&most=500", KeyValueStoreCodec.listPath("job/", ""));
         assertEquals("/keys?prefix=job/&after=job/x&most=500", KeyValueStoreCodec.listPath("job/", "job/x"));
         assertEquals("/follow?prefix=job/&after=3&waitMs=1000", KeyValueStoreCodec.watchPath("job/", 3, 1_000));
--- a/src/test/java/org/spoolline/metrics/MetricsTest.java
+++ b/src/test/java/org/spoolline/metrics/MetricsTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void countersShowOnlyEventsThatHaveOccurred() {
+    void countersOmitEventsThatHaveNotOccurred() {
         Counters counters = new Counters(loop);
         counters.start();
         counters.count(Event.LAUNCH_ORDERED);
@@ -26,35 +26,35 @@
         loop.runTo(loop.now() + 2 * Constants.Logging.COUNTERS_LOG_MS);
         assertEquals(
                 "{\"launch_ordered\":1,\"task_placed\":3}", counters.toJson().toString());
-        assertEquals(3, counters.of(Event.TASK_PLACED));
+        assertEquals(3, counters.get(Event.TASK_PLACED));
     }
 
     /** Without this, a leader without machines can't be distinguished from one without jobs. */
     @Test
-    void aLeaderThatPlacesNothingWhileJobsWaitIsInspectedOnceInATime() {
+    void inspectsStalledLeaderOncePerStallInterval() {
         StallMonitor stalls = new StallMonitor(loop);
         stalls.check(() -> waiting(2));
         assertEquals(0, inspections);
-        loop.standStill(Constants.Logging.STALL_MS);
+        loop.advanceWithoutTimers(Constants.Logging.STALL_MS);
         stalls.check(() -> waiting(2));
         stalls.check(() -> waiting(2));
         assertEquals(1, inspections);
         assertEquals(
                 StallMonitor.Reason.NO_SCHEDULABLE_MACHINE,
-                stalls.lastSeen().orElseThrow().reason());
-        stalls.progress();
-        assertEquals(Optional.empty(), stalls.lastSeen());
-        loop.standStill(Constants.Logging.STALL_MS - 1);
+                stalls.lastSituation().orElseThrow().reason());
+        stalls.recordPlacement();
+        assertEquals(Optional.empty(), stalls.lastSituation());
+        loop.advanceWithoutTimers(Constants.Logging.STALL_MS - 1);
         stalls.check(() -> waiting(2));
         assertEquals(1, inspections);
     }
 
     @Test
-    void aLeaderWithoutWaitingJobsIsNotStalled() {
+    void leaderWithoutWaitingJobsIsNotStalled() {
         StallMonitor stalls = new StallMonitor(loop);
-        loop.standStill(Constants.Logging.STALL_MS);
+        loop.advanceWithoutTimers(Constants.Logging.STALL_MS);
         stalls.check(() -> waiting(0));
         assertEquals(1, inspections);
-        assertEquals(Optional.empty(), stalls.lastSeen());
+        assertEquals(Optional.empty(), stalls.lastSituation());
     }
 }
--- a/src/test/java/org/spoolline/net/ExceptionBoundaryTest.java
+++ b/src/test/java/org/spoolline/net/ExceptionBoundaryTest.java
@@ -14,7 +14,7 @@
     private final ExceptionBoundary boundary = new ExceptionBoundary(exitCodes::add);
 
     @Test
-    void anExceptionStopsNothing() {
+    void exceptionDoesNotEndProcess() {
         assertTrue(boundary.run("a task", () -> {}));
         assertFalse(boundary.run("a task", () -> {
             throw new IllegalStateException("expected here");
@@ -24,7 +24,7 @@
 
     /** A class that could not be loaded once left a leader that answered heartbeats and decided nothing. */
     @Test
-    void anErrorEndsTheProcess() {
+    void errorEndsProcess() {
         assertFalse(boundary.run("a task", () -> {
             throw new NoClassDefFoundError("expected here");
         }));
--- a/src/test/java/org/spoolline/net/FakeEventLoop.java
+++ b/src/test/java/org/spoolline/net/FakeEventLoop.java
@@ -11,7 +11,7 @@
 
     private final List<Timer> timers = new ArrayList<>();
     private long now = 1_000;
-    private long lateMs;
+    private long timerDelayMs;
 
     @Override
     public long now() {
@@ -29,37 +29,39 @@
     }
 
     /** From now on each timer fires this much after it is due. */
-    public void lateBy(long ms) {
-        lateMs = ms;
+    public void delayTimersBy(long ms) {
+        timerDelayMs = ms;
     }
 
     /** Lets time pass while the loop is busy, so that no timer fires. */
-    public void standStill(long ms) {
+    public void advanceWithoutTimers(long ms) {
         now += ms;
     }
 
     /** Runs the timers that are due by then. */
     public void runTo(long until) {
-        for (Optional<Timer> next = next(); next.isPresent() && next.get().at() <= until; next = next()) {
-            fire(next.get());
+        for (Optional<Timer> timer = earliestTimer();
+                timer.isPresent() && timer.get().at() <= until;
+                timer = earliestTimer()) {
+            fire(timer.get());
         }
         now = until;
     }
 
     /** Runs timers until none is left. */
     public void runAll() {
-        for (Optional<Timer> next = next(); next.isPresent(); next = next()) {
-            fire(next.get());
+        for (Optional<Timer> timer = earliestTimer(); timer.isPresent(); timer = earliestTimer()) {
+            fire(timer.get());
         }
     }
 
-    private Optional<Timer> next() {
+    private Optional<Timer> earliestTimer() {
         return timers.stream().min(Comparator.comparingLong(Timer::at));
     }
 
     private void fire(Timer timer) {
         timers.remove(timer);
-        now = Math.max(now, timer.at()) + lateMs;
+        now = Math.max(now, timer.at()) + timerDelayMs;
         timer.task().run();
     }
 }
--- a/src/test/java/org/spoolline/net/IdleConnectionsTest.java
+++ b/src/test/java/org/spoolline/net/IdleConnectionsTest.java
@@ -26,39 +26,39 @@
     }
 
     @Test
-    void theConnectionUsedLastIsTakenFirst() {
+    void reusesMostRecentlyUsedConnectionFirst() {
         IdleConnections idle = new IdleConnections(4);
         ClientConnection first = connection("first");
         ClientConnection second = connection("second");
         idle.add("a", first);
         idle.add("a", second);
-        assertNull(idle.take("b"));
-        assertSame(second, idle.take("a"));
-        assertSame(first, idle.take("a"));
-        assertNull(idle.take("a"));
+        assertNull(idle.acquire("b"));
+        assertSame(second, idle.acquire("a"));
+        assertSame(first, idle.acquire("a"));
+        assertNull(idle.acquire("a"));
     }
 
     @Test
-    void connectionsThatTheTargetClosedAreSkipped() {
+    void skipsConnectionsClosedByTarget() {
         IdleConnections idle = new IdleConnections(4);
         ClientConnection open = connection("open");
         idle.add("a", open);
         idle.add("a", connection("shut"));
         closed.add("shut");
-        assertSame(open, idle.take("a"));
-        assertNull(idle.take("a"));
+        assertSame(open, idle.acquire("a"));
+        assertNull(idle.acquire("a"));
     }
 
     /** Of the target that was used longest ago, the connection that was used longest ago. */
     @Test
-    void theOldestConnectionsAreClosedWhenThereAreTooMany() {
+    void closesLeastRecentlyUsedConnectionsAboveCapacity() {
         IdleConnections idle = new IdleConnections(3);
         idle.add("a", connection("a1"));
         idle.add("a", connection("a2"));
         idle.add("b", connection("b1"));
         idle.add("c", connection("c1"));
         assertEquals(List.of("a1"), closed);
-        ClientConnection used = idle.take("a");
+        ClientConnection used = idle.acquire("a");
         idle.add("a", used);
         idle.add("c", connection("c2"));
         assertEquals(List.of("a1", "b1"), closed);
--- a/src/test/java/org/spoolline/net/TimeoutTest.java
+++ b/src/test/java/org/spoolline/net/TimeoutTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aTimerThatFiresInTimeEndsTheCall() {
+    void punctualTimerEndsCall() {
         new Timeout(loop, () -> now, 1_000, () -> expired++);
         fire(1_010);
         assertEquals(1, expired);
@@ -48,7 +48,7 @@
 
     /** A response that arrived before the late timer is read first, and cancels it. */
     @Test
-    void aLateTimerReadsFromTheNetworkFirst() {
+    void lateTimerLetsLoopReadNetworkFirst() {
         Timeout timeout = new Timeout(loop, () -> now, 1_000, () -> expired++);
         fire(2_200);
         assertEquals(0, expired);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aCallWithoutResponseEndsAllTheSame() {
+    void lateTimerEndsCallWithoutResponse() {
         new Timeout(loop, () -> now, 1_000, () -> expired++);
         fire(60_000);
         assertEquals(2_000L, delays.get(1));
--- a/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
+++ b/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
@@ -37,7 +37,7 @@
 
     @Test
     void theFirstCycleOfATermIsDeferredWhileTheLoopIsLateButNotForLong() {
-        loop.lateBy(LATE_MS);
+        loop.delayTimersBy(LATE_MS);
         pacer.begin();
         pacer.request(0);
         loop.runAll();
@@ -60,7 +60,7 @@
         pacer.begin();
         pacer.request(0);
         loop.runAll();
-        loop.lateBy(LATE_MS);
+        loop.delayTimersBy(LATE_MS);
         long before = loop.now();
         pacer.request(0);
         loop.runAll();
--- a/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
+++ b/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
@@ -107,7 +107,7 @@
     @BeforeEach
     void beginTermWithAFullBudget() {
         store.setLeader(true);
-        loop.standStill(60_000);
+        loop.advanceWithoutTimers(60_000);
         writer.begin(TERM);
     }
 
@@ -185,7 +185,7 @@
         statuses.add(400);
         write(launch("run-000001", "standard"), launch("run-000002", "standard"));
         assertEquals(List.of("abandoned run-000001", "abandoned run-000002", "decided false"), outcomes);
-        loop.standStill(60_000);
+        loop.advanceWithoutTimers(60_000);
         assertTrue(write(launch("run-000001", "standard"), launch("run-000002", "standard")));
         assertEquals(List.of("job/run-000001"), changedKeys(sent.get(1)));
         assertEquals(List.of("job/run-000002"), changedKeys(sent.get(2)));
@@ -197,7 +197,7 @@
         write(launch("run-000001", "standard"));
         assertFalse(write(launch("run-000001", "standard")));
         assertEquals(1, sent.size());
-        loop.standStill(Constants.Cycle.OVERSIZED_VALUE_BACKOFF_MS);
+        loop.advanceWithoutTimers(Constants.Cycle.OVERSIZED_VALUE_BACKOFF_MS);
         assertTrue(write(launch("run-000001", "standard")));
         assertEquals(2, sent.size());
     }
--- a/src/test/java/org/spoolline/simulation/Controllers.java
+++ b/src/test/java/org/spoolline/simulation/Controllers.java
@@ -149,7 +149,7 @@
 
     /** How often the present process of the controller has counted the event. */
     long countOf(String name, Event event) {
-        return processes.get(name).controller().counters().of(event);
+        return processes.get(name).controller().counters().get(event);
     }
 
     /** From now on the scheduler given serves in place of every controller, to see an invariant violated. */
--- a/src/test/java/org/spoolline/worker/OrderPlannerTest.java
+++ b/src/test/java/org/spoolline/worker/OrderPlannerTest.java
@@ -98,7 +98,7 @@
         release();
         receiveHeartbeat(2, status(TaskStatus.Phase.RUNNING, null));
         assertEquals(List.of(new Order.Stop(ATTEMPT_ID, 0)), planner.ordersFor(machine));
-        assertEquals(1, counters.of(Event.HEARTBEAT_LISTED_RELEASED_ATTEMPT));
+        assertEquals(1, counters.get(Event.HEARTBEAT_LISTED_RELEASED_ATTEMPT));
     }
 
     /** It is cleared only once the end is stored: cleared before, a repeated launch would start it again. */
@@ -114,7 +114,7 @@
         jobs.remove(JOB, 6);
         receiveHeartbeat(2, status(TaskStatus.Phase.EXITED, TaskStatus.ExitReason.INSUFFICIENT_CAPACITY));
         assertEquals(List.of(new Order.Clear(ATTEMPT_ID)), planner.ordersFor(machine));
-        assertEquals(1, counters.of(Event.REJECTED_LAUNCH_NOT_STORED));
+        assertEquals(1, counters.get(Event.REJECTED_LAUNCH_NOT_STORED));
     }
 
     /** Another stored attempt of 20 cores exceeds the team's limit of 32: neither is launched, and a listed one runs on. */
@@ -122,7 +122,7 @@
     void nothingIsLaunchedWhileTheTeamsStoredAttemptsExceedItsLimit() {
         store("run-000002", new Attempt(0, 1, "m-2", 1));
         assertEquals(List.of(), planner.ordersFor(machine));
-        assertEquals(1, counters.of(Event.LAUNCH_WITHHELD_TEAM_LIMIT));
+        assertEquals(1, counters.get(Event.LAUNCH_WITHHELD_TEAM_LIMIT));
         receiveHeartbeat(2, status(TaskStatus.Phase.RUNNING, null));
         assertEquals(List.of(), planner.ordersFor(machine));
         jobs.remove("run-000002", 7);
