--- a/src/main/java/org/spoolline/autoscaler/Autoscaler.java
+++ b/src/main/java/org/spoolline/autoscaler/Autoscaler.java
@@ -12,8 +12,9 @@
 import org.spoolline.net.Http;
 
 /**
- * Adapts the set of machines to the demand while this node leads: reads the cloud's machine list, acquires machines for
- * tasks without capacity and releases those that are idle, lost or failed. Confined to the event loop.
+ * Adapts the number of machines to the demand while this node is the leader: reads the cloud's machine list, acquires
+ * machines for tasks that lack capacity and releases machines that are idle, lost or failed. Confined to the event
+ * loop.
  */
 public final class Autoscaler {
     private final EventLoop loop;
@@ -25,9 +26,9 @@
     private long typesRequestedAt;
 
     /**
-     * Creates an autoscaler that does nothing until the node is elected.
+     * Creates an autoscaler that does nothing until this node is elected.
      *
-     * @param onChange runs whenever a reply of the cloud may change what the scheduler can do
+     * @param onChange runs after each reply of the cloud that may change the capacity available to the scheduler
      */
     public Autoscaler(
             EventLoop loop,
@@ -45,7 +46,10 @@
         listing = new MachineListing(loop, cloud, settings, election, machines, scaleIn::releaseFailed, onChange);
     }
 
-    /** Starts a term of leadership without any state: what the former leader acquired shows in the machine list. */
+    /**
+     * Starts a term of leadership and discards all state of earlier terms. Machines that the previous leader acquired
+     * are read from the cloud's machine list.
+     */
     public void elected(long token) {
         long now = loop.now();
         cloud.beginTerm(token);
@@ -55,17 +59,19 @@
         typesRequestedAt = now;
     }
 
-    /** Ends the term: replies still under way have no effect. */
+    /** Ends the term; replies to requests still in flight are ignored. */
     public void steppedDown() {
         cloud.endTerm();
     }
 
     /**
-     * Makes one pass. Machines are acquired and released only once the machine list and the types are known.
+     * Runs one pass. Acquires and releases machines only after the machine list and the machine types have been read.
      *
-     * @param demands           tasks without capacity, most urgent first
-     * @param recentDemandCores cores that jobs requested recently; idle machines are kept for as many
-     * @param holdsWork         true for the name of a machine that runs tasks or is reserved for some
+     * @param demands           tasks that lack capacity, most urgent first
+     * @param recentDemandCores cores that jobs requested recently; idle machines are retained up to this number of
+     *     cores
+     * @param holdsWork         tests by name whether a machine has attempts or is expected to receive work, so that it
+     *     is not idle
      */
     public void reconcile(List<ResourceDemand> demands, double recentDemandCores, Predicate<String> holdsWork) {
         long now = loop.now();
--- a/src/main/java/org/spoolline/autoscaler/CloudClient.java
+++ b/src/main/java/org/spoolline/autoscaler/CloudClient.java
@@ -8,8 +8,8 @@
 import org.spoolline.net.RateLimiter;
 
 /**
- * Sends the leader's requests to the cloud and keeps its rate limit. Replies and timers that belong to a term of
- * leadership which has ended are dropped. Confined to the event loop.
+ * Sends the leader's requests to the cloud within the leader's share of the rate limit. Replies and timers of an
+ * earlier term of leadership are ignored. Confined to the event loop.
  */
 final class CloudClient {
     private final EventLoop loop;
@@ -26,37 +26,39 @@
                 new RateLimiter(settings.cloud().requestsPerS() * Constants.Autoscaling.CLOUD_LEADER_SHARE, loop.now());
     }
 
-    /** Starts a term of leadership under the token. */
+    /** Starts a term of leadership, identified by its fencing token. */
     void beginTerm(long token) {
         term = token;
     }
 
-    /** Ends the term: nothing that is under way has any effect here from now on. */
+    /** Ends the term; replies and timers that are still pending are ignored. */
     void endTerm() {
         term = 0;
     }
 
-    /** The present term's token, or 0 outside of one. */
+    /** Returns the fencing token of the current term; 0 if this node does not lead. */
     long term() {
         return term;
     }
 
-    /** Takes one request from the rate limit if it allows one now. */
+    /**
+     * Acquires one request from the rate limit; returns false and acquires nothing if the limit does not allow one now.
+     */
     boolean tryAcquire(long now) {
         return rateLimiter.tryAcquire(1, now);
     }
 
-    /** Takes one request from the rate limit even where later requests have to wait for it. */
+    /** Acquires one request from the rate limit, going into debt if necessary, which delays later requests. */
     void acquireWithDebt() {
         rateLimiter.acquireWithDebt(1, loop.now());
     }
 
-    /** Sends a read, for which the caller has acquired a request of the rate limit. */
+    /** Sends a read. The caller must have acquired a request from the rate limit. */
     void get(String path, Consumer<Http.Reply> onReply) {
         call("GET", path, null, onReply);
     }
 
-    /** Sends a change, for which the caller has acquired a request of the rate limit. */
+    /** Sends a change. The caller must have acquired a request from the rate limit. */
     void post(String path, byte[] body, Consumer<Http.Reply> onReply) {
         call("POST", path, body, onReply);
     }
@@ -70,7 +72,7 @@
         });
     }
 
-    /** Runs the action after the pause before a retry, unless the term ends before. */
+    /** Runs the action after the retry delay, unless the term has ended by then. */
     void afterRetryDelay(Runnable action) {
         long callTerm = term;
         loop.after(Constants.Time.RETRY_MS * 2, () -> {
--- a/src/main/java/org/spoolline/autoscaler/CloudCodec.java
+++ b/src/main/java/org/spoolline/autoscaler/CloudCodec.java
@@ -8,7 +8,7 @@
 import org.spoolline.cluster.Machine;
 import org.spoolline.net.Json;
 
-/** Writes requests about machines to the cloud and reads its replies: the only class that knows their wire form. */
+/** Encodes machine requests to the cloud and parses its replies; the only class that uses their wire format. */
 final class CloudCodec {
     /** Path of the request that acquires machines. */
     static final String ACQUIRE_PATH = "/rentals";
@@ -18,27 +18,29 @@
     private CloudCodec() {}
 
     /**
-     * One machine of the cloud's list.
+     * One machine in the cloud's machine list.
      *
-     * @param heldMs ms since it was acquired
-     * @param status the cloud's status of the machine, as on the wire
+     * @param heldMs ms since the machine was acquired
+     * @param status the status that the cloud reports, as on the wire
      */
     record ListedMachine(String name, String type, String zone, boolean spot, long heldMs, String status) {
-        /** True when the machine has failed and will never run again. */
+        /** Returns true if the machine has failed permanently. */
         boolean hasFailed() {
             return "failed".equals(status);
         }
     }
 
-    /** One page of the cloud's list, ordered by name. */
+    /** One page of the cloud's machine list, ordered by name. */
     record ListPage(List<ListedMachine> machines, boolean hasNext) {}
 
-    /** Path and query of one page of the list: up to {@code limit} machines with names after the given one. */
+    /**
+     * Returns path and query of one page of the list: up to {@code limit} machines whose names follow {@code after}.
+     */
     static String listPath(String after, int limit) {
         return "/rentals?after=" + after + "&most=" + limit;
     }
 
-    /** Reads one page of the list. */
+    /** Parses one page of the list. A malformed reply yields an empty last page. */
     static ListPage parseList(byte[] reply) {
         JsonNode body = Json.read(reply);
         List<ListedMachine> machines = new ArrayList<>();
@@ -55,9 +57,10 @@
     }
 
     /**
-     * Body of a request that acquires machines.
+     * Returns the body of a request that acquires machines.
      *
-     * @param requestId makes the request idempotent: the cloud answers a repetition without acquiring anything
+     * @param requestId makes the request idempotent: the cloud answers a retry with the same id without acquiring
+     *     machines again
      */
     static byte[] acquireRequest(String requestId, ScaleOutPlanner.Offer offer, int count) {
         ObjectNode body = Json.object()
@@ -69,7 +72,7 @@
         return Json.bytes(body);
     }
 
-    /** Names of the machines that a request acquired. */
+    /** Parses the names of the acquired machines; empty if the reply is malformed. */
     static List<String> parseAcquired(byte[] reply) {
         List<String> names = new ArrayList<>();
         for (JsonNode name : Json.read(reply).path("spoolers")) {
@@ -78,7 +81,7 @@
         return names;
     }
 
-    /** Body of a request that releases machines. */
+    /** Returns the body of a request that releases machines. */
     static byte[] releaseRequest(List<Machine> machines) {
         ObjectNode body = Json.object();
         ArrayNode names = body.putArray("spoolers");
--- a/src/main/java/org/spoolline/autoscaler/MachineListing.java
+++ b/src/main/java/org/spoolline/autoscaler/MachineListing.java
@@ -28,10 +28,10 @@
     private long requestedAt;
 
     /**
-     * Creates a listing that reads nothing by itself.
+     * Creates a listing that sends no request before {@link #refreshIfDue}.
      *
-     * @param onFailedMachine receives each machine that the list shows as failed, once it is marked as terminated
-     * @param onChange        runs after each complete list
+     * @param onFailedMachine receives each machine that is listed as failed, after it has been marked as terminated
+     * @param onChange        runs after each complete read of the list
      */
     MachineListing(
             EventLoop loop,
@@ -50,20 +50,20 @@
         this.onChange = onChange;
     }
 
-    /** Starts a term in which nothing has been listed. */
+    /** Starts a term; the list counts as unread and is due at once. */
     void beginTerm() {
         complete = false;
         requestedAt = Long.MIN_VALUE / 2;
     }
 
-    /** True once the whole list has been read in this term. */
+    /** Returns true if the whole list has been read at least once in this term. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Starts to read the list when it is due and the rate limit allows it. */
+    /** Starts to read the list if a read is due and the rate limit allows it. */
     void refreshIfDue(long now) {
-        // Within half its lag the list seldom shows anything new.
+        // The list lags behind the actual machines; at shorter intervals than half the lag it rarely contains changes.
         long intervalMs = Math.max(
                 Constants.Autoscaling.MACHINE_LIST_INTERVAL_MS, settings.cloud().listLagMs() / 2);
         if (now - requestedAt >= intervalMs && cloud.tryAcquire(now)) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** One reading of the whole list. */
+    /** One read of the whole list, page by page. */
     private final class FullRead {
         private final long startedAt;
         private final Set<String> listedNames = new HashSet<>();
@@ -129,8 +129,9 @@
     }
 
     /**
-     * Marks machines as terminated that were listed before and no longer are. A list may be as old as twice the lag, so
-     * one that was requested sooner than that after a machine's last listing proves nothing.
+     * Marks machines as terminated that were listed before and no longer are. A list may be out of date by up to twice
+     * the lag. A machine therefore counts as terminated only if the list was requested later than that, plus a margin,
+     * after the machine was last listed.
      */
     private void terminateUnlisted(Set<String> listedNames, long listRequestedAt) {
         long maxAgeMs = 2 * settings.cloud().listLagMs() + Constants.Time.MARGIN_MS;
--- a/src/main/java/org/spoolline/autoscaler/ReleasePolicy.java
+++ b/src/main/java/org/spoolline/autoscaler/ReleasePolicy.java
@@ -9,17 +9,19 @@
 import org.spoolline.config.Settings;
 
 /**
- * Decides which machines are released in one pass. It counts the idle machines that it keeps for the next jobs, so it
- * is asked about each machine once.
+ * Decides which machines to release in one pass. It sums the cores of the idle machines that it retains for recent
+ * demand, so {@link #reasonToRelease} must be called exactly once per machine.
  */
 final class ReleasePolicy {
     /**
      * The input of one pass.
      *
-     * @param electedAt         when the present term began, in ms of the steady clock
-     * @param recentDemandCores cores that jobs requested recently; idle machines are kept for as many
-     * @param holdsWork         true for the name of a machine that runs tasks or is reserved for some
-     * @param now               the steady clock in ms
+     * @param electedAt         start of the current term in ms of the monotonic clock
+     * @param recentDemandCores cores that jobs requested recently; idle machines are retained up to this number of
+     *     cores
+     * @param holdsWork         tests by name whether a machine has attempts or is expected to receive work, so that it
+     *     is not idle
+     * @param now               current time in ms of the monotonic clock
      */
     record Input(long electedAt, double recentDemandCores, Predicate<String> holdsWork, long now) {}
 
@@ -36,7 +38,7 @@
         this.now = input.now();
     }
 
-    /** Why the machine is to be released, empty when it is to stay. Also marks a machine that holds work as busy. */
+    /** Returns why to release the machine; empty if it is retained. Also marks a machine that holds work as busy. */
     Optional<ReleaseReason> reasonToRelease(Machine machine) {
         boolean holdsWork = input.holdsWork().test(machine.name());
         boolean downlinkUnreachable = isDownlinkUnreachable(machine, holdsWork);
@@ -46,7 +48,7 @@
                 return Optional.empty();
             }
         }
-        // Evaluated for each machine, whatever else applies: one that is kept counts towards the recent demand.
+        // Evaluated before the other reasons, since every retained machine must be counted against the recent demand.
         boolean idle = isIdle(machine) && !isRetainedForRecentDemand(machine);
         if (hasExceededBootTimeout(machine)) {
             return Optional.of(ReleaseReason.BOOT_TIMEOUT);
@@ -64,7 +66,10 @@
         return drained ? Optional.of(ReleaseReason.DRAINED) : Optional.empty();
     }
 
-    /** Counts from the election at the earliest: a new leader has no heartbeat yet from machines that are long up. */
+    /**
+     * The timeout starts at the election or later, since a new leader has not yet received heartbeats of machines that
+     * booted long ago.
+     */
     private boolean hasExceededBootTimeout(Machine machine) {
         MachineType type = types.get(machine.type());
         long timeoutMs = type == null
@@ -78,8 +83,9 @@
     }
 
     /**
-     * Work on a machine that receives no responses has lost its lease once the lease expiry has passed. A machine that
-     * never received a response of this leader can't confirm that, and only its termination proves it.
+     * A machine with work is released only after the lease expiry: a worker that receives no responses has then lost
+     * its lease. A machine that never received a response of this leader can't confirm that its tasks have ended, so
+     * only its termination proves it.
      */
     private boolean isDownlinkUnreachable(Machine machine, boolean holdsWork) {
         long timeoutMs = holdsWork ? settings.leaseExpiryMs() : Constants.Autoscaling.MACHINE_LOST_MS;
@@ -95,7 +101,10 @@
                 && now - machine.knownSince() > Constants.Autoscaling.MIN_CHARGE_MS;
     }
 
-    /** Keeps idle machines up to the recent demand, for about a boot time: the next job needn't wait for one. */
+    /**
+     * Retains idle on-demand machines up to the recent demand, each for at most the boot time of its type, so that the
+     * next job need not wait for a machine to boot.
+     */
     private boolean isRetainedForRecentDemand(Machine machine) {
         MachineType type = types.get(machine.type());
         if (machine.spot() || type == null) {
--- a/src/main/java/org/spoolline/autoscaler/ReleaseReason.java
+++ b/src/main/java/org/spoolline/autoscaler/ReleaseReason.java
@@ -1,16 +1,19 @@
 package org.spoolline.autoscaler;
 
-/** Why a machine is released. */
+/** Reason for which a machine is released. */
 enum ReleaseReason {
-    /** It sent no heartbeat within a multiple of its type's boot time. */
+    /** The machine sent no heartbeat within a multiple of the boot time of its type. */
     BOOT_TIMEOUT("boot_timeout"),
-    /** It sent no heartbeat for long. */
+    /** The machine has stopped sending heartbeats. */
     HEARTBEAT_TIMEOUT("heartbeat_timeout"),
-    /** Its heartbeats arrive, but the responses to them don't, so that no launch would. */
+    /**
+     * The leader receives the machine's heartbeats, but the machine does not receive the responses, which carry
+     * launches.
+     */
     DOWNLINK_UNREACHABLE("downlink_unreachable"),
-    /** It had no work for long. */
+    /** The machine has had no work for the idle timeout. */
     IDLE("idle"),
-    /** It was drained, and its work has ended. */
+    /** The machine is draining and its work has ended. */
     DRAINED("drained");
 
     private final String label;
@@ -19,7 +22,7 @@
         this.label = label;
     }
 
-    /** The reason as log lines show it. */
+    /** Returns the reason as written to logs. */
     @Override
     public String toString() {
         return label;
--- a/src/main/java/org/spoolline/autoscaler/ScaleIn.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleIn.java
@@ -25,7 +25,9 @@
     private final MachineTypeCatalog catalog;
     private final MachineRegistry machines;
     private final Runnable onChange;
-    /** Names of the machines whose release has been requested. */
+    /**
+     * Names of the machines whose release has been requested; removed after a failed request, so that it is retried.
+     */
     private final Set<String> releasing = new HashSet<>();
 
     private long electedAt;
@@ -43,13 +45,15 @@
         this.onChange = onChange;
     }
 
-    /** Starts a term in which no release has been requested. */
+    /** Starts a term; releases requested in earlier terms are forgotten. */
     void beginTerm(long now) {
         electedAt = now;
         releasing.clear();
     }
 
-    /** Drains the machines to be released and requests their release, as far as the rate limit allows. */
+    /**
+     * Drains the machines that the release policy selects and requests their release as far as the rate limit allows.
+     */
     void release(double recentDemandCores, Predicate<String> holdsWork, long now) {
         ReleasePolicy policy = new ReleasePolicy(
                 settings, catalog.types(), new ReleasePolicy.Input(electedAt, recentDemandCores, holdsWork, now));
@@ -71,7 +75,10 @@
         }
     }
 
-    /** Releases a machine that the cloud lists as failed. It is terminated already, so it may exceed the rate limit. */
+    /**
+     * Releases a machine that the cloud lists as failed. The request ignores the rate limit: the machine is already
+     * marked as terminated, so later passes would skip it.
+     */
     void releaseFailed(Machine machine) {
         machine.drain();
         requestRelease(List.of(machine));
@@ -93,7 +100,7 @@
         if (reply.ok()) {
             batch.forEach(Machine::markTerminated);
         } else {
-            // Requests in every cycle would not shorten an outage of the cloud.
+            // A delay before the retry, since requests in every cycle would not end an outage of the cloud sooner.
             cloud.afterRetryDelay(() -> batch.forEach(machine -> releasing.remove(machine.name())));
         }
         onChange.run();
--- a/src/main/java/org/spoolline/autoscaler/ScaleOut.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOut.java
@@ -15,7 +15,7 @@
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 
-/** Acquires machines for tasks without capacity: one idempotent request for each offer at a time. */
+/** Acquires machines for tasks that lack capacity, with at most one idempotent request in flight per offer. */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
     private static final int BAD_REQUEST = 400;
@@ -27,9 +27,11 @@
     private final MachineTypeCatalog catalog;
     private final MachineRegistry machines;
     private final Runnable onChange;
-    /** Number of machines requested, for offers whose request has no definite reply yet. */
+    /** Number of machines requested, by offer, while the request has no definite reply. */
     private final Map<ScaleOutPlanner.Offer, Integer> pendingCounts = new HashMap<>();
-    /** Time in ms until which an offer without capacity is not requested again. */
+    /**
+     * Time in ms before which an offer is not requested again, after the cloud rejected it or acquired fewer machines.
+     */
     private final Map<ScaleOutPlanner.Offer, Long> backoffUntil = new HashMap<>();
 
     private long lastRequestNumber;
@@ -49,14 +51,14 @@
         this.onChange = onChange;
     }
 
-    /** Starts a term in which nothing has been requested. */
+    /** Starts a term; pending requests and backoffs of earlier terms are discarded. */
     void beginTerm() {
         lastRequestNumber = 0;
         pendingCounts.clear();
         backoffUntil.clear();
     }
 
-    /** Requests the machines that the demands need beyond those that are starting, as far as the rate limit allows. */
+    /** Requests the machines that the demands need in addition to those starting, as far as the rate limit allows. */
     void acquire(List<ResourceDemand> demands, long now) {
         Map<ScaleOutPlanner.Offer, Integer> plan =
                 ScaleOutPlanner.plan(demands, startingMachines(), catalog.types(), offer -> isAvailable(offer, now));
@@ -74,7 +76,7 @@
         return !pendingCounts.containsKey(offer) && backoffUntil.getOrDefault(offer, Long.MIN_VALUE) <= now;
     }
 
-    /** The offers of machines that are expected to start, one entry for each machine. */
+    /** Returns the offers of the machines that are booting or requested, with one entry per machine. */
     private List<ScaleOutPlanner.Offer> startingMachines() {
         List<ScaleOutPlanner.Offer> starting = new ArrayList<>();
         for (Machine machine : machines.all()) {
@@ -91,8 +93,8 @@
     }
 
     /**
-     * Sends the request. Its reply counts even when the leader's lease has lapsed for a moment: an offer that stayed
-     * among the requested ones would never be requested again in this term.
+     * Sends the request. The reply is processed even if the leadership lease has expired for a moment: otherwise the
+     * offer would stay pending and never be requested again in this term.
      */
     private void request(ScaleOutPlanner.Offer offer, int count, String requestId) {
         cloud.post(
@@ -145,8 +147,8 @@
     }
 
     /**
-     * Repeats a request without a definite reply under the same id, the only one that is sure to acquire nothing twice.
-     * While the lease has lapsed it waits on.
+     * Retries a request that got no definite reply, with the same id: with a new id the cloud could acquire the
+     * machines twice. Waits for another retry delay while the leadership lease is expired.
      */
     private void retry(ScaleOutPlanner.Offer offer, int count, String requestId) {
         cloud.afterRetryDelay(() -> {
--- a/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
@@ -12,9 +12,9 @@
 import org.spoolline.cluster.ResourceDemand;
 import org.spoolline.pipeline.Submission;
 
-/** Decides which machines to acquire for tasks without capacity. A plan depends on its arguments alone. */
+/** Decides which machines to acquire for tasks that lack capacity. The plan depends only on the arguments. */
 public final class ScaleOutPlanner {
-    /** Seconds of boot time that weigh as much as the price: an offer that takes as long counts twice its price. */
+    /** Boot time in seconds at which the weight of an offer is twice its price per task. */
     private static final double BOOT_S_DOUBLING_WEIGHT = 100;
 
     private final Map<String, MachineType> types;
@@ -27,9 +27,9 @@
         this.available = available;
     }
 
-    /** A machine type in a zone, as an on-demand or a spot machine. */
+    /** A machine type in a zone, either on-demand or spot. */
     public record Offer(String type, String zone, boolean spot) {
-        /** Written out, see {@link org.spoolline.pipeline.Attempt#equals}. */
+        /** Written by hand for a faster start, see {@link org.spoolline.pipeline.Attempt#equals}. */
         @Override
         public boolean equals(Object other) {
             return other instanceof Offer o && spot == o.spot && type.equals(o.type) && zone.equals(o.zone);
@@ -42,12 +42,12 @@
     }
 
     /**
-     * How many machines of each offer to acquire.
+     * Returns the number of machines to acquire, by offer.
      *
-     * @param demands   tasks without capacity, most urgent first
-     * @param starting  offers of the machines that are expected to start, one entry for each machine
+     * @param demands   tasks that lack capacity, most urgent first
+     * @param starting  offers of the machines that are booting or requested, with one entry per machine
      * @param types     machine types by name
-     * @param available true for an offer that may be requested now
+     * @param available tests whether an offer may be requested now
      */
     static Map<Offer, Integer> plan(
             List<ResourceDemand> demands,
@@ -72,7 +72,9 @@
         return capacity;
     }
 
-    /** Allocates capacity for the tasks, first on machines that are starting, then on further ones to be acquired. */
+    /**
+     * Allocates capacity for the tasks of a demand, first on machines that are starting, then on machines to acquire.
+     */
     private void coverDemand(ResourceDemand demand) {
         Submission job = demand.job().spec();
         int unmet = demand.tasks();
@@ -89,7 +91,7 @@
         }
     }
 
-    /** Allocates capacity for up to so many tasks; returns for how many there was some. */
+    /** Allocates capacity for up to the given number of tasks; returns the number of tasks that fit. */
     private static int allocate(Capacity capacity, Submission job, int tasks) {
         int allocated = 0;
         while (allocated < tasks && capacity.permits(job) && capacity.fits(job)) {
@@ -99,16 +101,18 @@
         return allocated;
     }
 
-    /** An offer with its weight: its price for each task, increased by its boot time. */
+    /** An offer and its weight: the price per task, increased in proportion to the boot time. */
     private record WeightedOffer(Offer offer, double weight) {}
 
-    /** The offer with the lowest weight for so many tasks; empty when none is available that the job may use. */
+    /**
+     * Returns the available offer with the lowest weight for the given number of tasks; empty if the job can use none.
+     */
     private Optional<Offer> cheapestOffer(Submission job, int tasks) {
         List<WeightedOffer> offers = new ArrayList<>();
         for (MachineType type : types.values()) {
-            int tasksPerMachine = type.canRun(job) ? Math.min(tasks, type.tasksPerMachine(job)) : 0;
-            if (tasksPerMachine > 0) {
-                addWeightedOffers(job, type, tasksPerMachine, offers);
+            int tasksOnMachine = type.canRun(job) ? Math.min(tasks, type.tasksPerMachine(job)) : 0;
+            if (tasksOnMachine > 0) {
+                addWeightedOffers(job, type, tasksOnMachine, offers);
             }
         }
         return offers.stream()
@@ -116,15 +120,15 @@
                 .map(WeightedOffer::offer);
     }
 
-    private void addWeightedOffers(Submission job, MachineType type, int tasksPerMachine, List<WeightedOffer> offers) {
+    private void addWeightedOffers(Submission job, MachineType type, int tasksOnMachine, List<WeightedOffer> offers) {
         for (String zone : type.zones()) {
             if (job.zone() != null && !job.zone().equals(zone)) {
                 continue;
             }
             if (job.allowsSpot()) {
-                addWeightedOffer(new Offer(type.name(), zone, true), type, type.spotPrice() / tasksPerMachine, offers);
+                addWeightedOffer(new Offer(type.name(), zone, true), type, type.spotPrice() / tasksOnMachine, offers);
             }
-            addWeightedOffer(new Offer(type.name(), zone, false), type, type.price() / tasksPerMachine, offers);
+            addWeightedOffer(new Offer(type.name(), zone, false), type, type.price() / tasksOnMachine, offers);
         }
     }
 
--- a/src/main/java/org/spoolline/autoscaler/package-info.java
+++ b/src/main/java/org/spoolline/autoscaler/package-info.java
@@ -1,2 +1,2 @@
-/** Scale out and scale in: which machines to acquire for unmet demand, and which to release. */
+/** Scale out and scale in: acquires machines for demand that exceeds the capacity, and releases surplus machines. */
 package org.spoolline.autoscaler;
--- a/src/main/java/org/spoolline/codec/TreeCodec.java
+++ b/src/main/java/org/spoolline/codec/TreeCodec.java
@@ -15,16 +15,16 @@
 import java.util.Map;
 
 /**
- * Converts between the bytes of one Jackson format and Jackson's tree nodes, token by token. It does what
- * {@code ObjectMapper.readTree} and {@code writeValueAsBytes} do for trees, without a mapper: creating one loads some
- * 400 classes and the locale data of date formats, more than a tenth of the processor time of a start.
+ * Converts between the bytes of one Jackson format and Jackson's tree nodes, token by token. Equivalent to
+ * {@code ObjectMapper.readTree} and {@code writeValueAsBytes} for trees. No mapper is used, since creating one loads
+ * about 400 classes and the locale data of date formats, which takes more than a tenth of the CPU time of a start.
  */
 public final class TreeCodec {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
     private final JsonFactory format;
 
-    /** A codec for the given format. */
+    /** Creates a codec for the given format. */
     public TreeCodec(JsonFactory format) {
         this.format = format;
     }
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Encodes the tree. */
+    /** Encodes the tree; throws an IOException if it contains a missing or POJO node. */
     public byte[] write(JsonNode tree) throws IOException {
         try (ByteArrayBuilder bytes = new ByteArrayBuilder()) {
             try (JsonGenerator out = format.createGenerator(bytes)) {
@@ -59,7 +59,7 @@
 
     private static JsonNode readValue(JsonParser in) throws IOException {
         if (in.currentToken() == null) {
-            throw new EOFException("the content ends within a value");
+            throw new EOFException("unexpected end of content: expected a value");
         }
         return switch (in.currentToken()) {
             case START_OBJECT -> readObject(in);
@@ -71,7 +71,7 @@
             case VALUE_FALSE -> NODES.booleanNode(false);
             case VALUE_NULL -> NODES.nullNode();
             case VALUE_EMBEDDED_OBJECT -> NODES.binaryNode(in.getBinaryValue());
-            default -> throw new IOException("unexpected token " + in.currentToken());
+            default -> throw new IOException("unexpected token " + in.currentToken() + ": expected a value");
         };
     }
 
@@ -83,7 +83,7 @@
             object.set(field, readValue(in));
         }
         if (in.currentToken() != JsonToken.END_OBJECT) {
-            throw new EOFException("the content ends within an object");
+            throw new EOFException("unexpected end of content: expected a field name or the end of an object");
         }
         return object;
     }
@@ -113,7 +113,7 @@
             case BOOLEAN -> out.writeBoolean(node.booleanValue());
             case BINARY -> out.writeBinary(node.binaryValue());
             case NULL -> out.writeNull();
-            default -> throw new IOException("a tree can't hold " + node.getNodeType());
+            default -> throw new IOException("cannot encode a node of type " + node.getNodeType());
         }
     }
 
@@ -142,7 +142,7 @@
             case FLOAT -> out.writeNumber(number.floatValue());
             case DOUBLE -> out.writeNumber(number.doubleValue());
             case BIG_DECIMAL -> out.writeNumber(number.decimalValue());
-            default -> throw new IOException("a tree can't hold a number of type " + number.numberType());
+            default -> throw new IOException("cannot encode a number of type " + number.numberType());
         }
     }
 }
--- a/src/main/java/org/spoolline/codec/package-info.java
+++ b/src/main/java/org/spoolline/codec/package-info.java
@@ -1,2 +1,2 @@
-/** Reading and writing of tree values in Jackson's formats: JSON, CBOR and TOML. */
+/** Reads and writes Jackson trees as JSON, CBOR and TOML. */
 package org.spoolline.codec;
--- a/src/main/java/org/spoolline/kvstore/CommitOutcome.java
+++ b/src/main/java/org/spoolline/kvstore/CommitOutcome.java
@@ -1,17 +1,17 @@
 package org.spoolline.kvstore;
 
-/** What became of one copy of a transaction that was sent. */
+/** Outcome of one attempt to commit a transaction. */
 public enum CommitOutcome {
-    /** All of its writes were applied, at one revision. */
+    /** The store applied all writes at one revision. */
     APPLIED,
-    /** Not applied: a condition does not hold. */
+    /** Not applied: at least one condition does not hold. */
     CONFLICT,
-    /** Not applied: the store is over its rate limit or not available. */
+    /** Not applied: the request exceeded the rate limit of the store, or the store is unavailable. */
     REFUSED,
-    /** Not applied: the lease of one of its writes does not exist any more. */
+    /** Not applied: a write refers to a lease that no longer exists. */
     LEASE_EXPIRED,
-    /** Not applied: it exceeds a limit on values or transactions, so sent again unchanged it fails again. */
+    /** Not applied: it exceeds a size limit on values or transactions, so an unchanged retry fails too. */
     TOO_LARGE,
-    /** No answer: it may have been applied, or may yet be. */
+    /** No response, or an unexpected one: the store may have applied the transaction, or may still apply it. */
     UNKNOWN
 }
--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
@@ -10,78 +10,90 @@
 import org.spoolline.net.Http;
 
 /**
- * Client of the consensus-backed key-value store, with this node's share of the store's rate limits.
+ * Client of the consensus-backed key-value store. Enforces this node's share of the store's rate limits.
  *
- * <p>Every method is called on the event loop, and every callback runs on it exactly once, whether the store answers or
- * not. Nothing is retried here. Unless a method says otherwise the caller first takes the request from the rate limits,
- * through {@link #tryAcquire} for work that can wait and {@link #acquireWithDebt} for what leadership depends on.
+ * <p>All methods must be called on the event loop. Each callback runs on it exactly once, whether or not the store
+ * responds. The client retries nothing. Unless a method says otherwise, the caller must first acquire the request from
+ * the rate limits: with {@link #tryAcquire} for deferrable work, with {@link #acquireWithDebt} for requests that
+ * leadership depends on.
  */
 public final class KeyValueStoreClient {
-    /** Read by probes; any key would do, whether it exists or not. */
+    /**
+     * Key that probes read. Any key serves, since a response that it does not exist also proves that the store is
+     * reachable.
+     */
     private static final String PROBE_KEY = "token";
 
     private final StoreConnection connection;
     private final StoreRateLimits rateLimits;
     private final long renewTimeoutMs;
 
-    /** A client with a follower's share of the rate limits. */
+    /** Creates a client that has a follower's share of the rate limits. */
     public KeyValueStoreClient(EventLoop loop, Http.Caller http, Settings settings) {
         this.connection = new StoreConnection(loop, http, settings.storeAddress());
         this.rateLimits = new StoreRateLimits(loop, settings);
         this.renewTimeoutMs = settings.renewMs();
     }
 
-    /** The limits that are known to be in force. */
+    /** Returns the limits known to be in force. */
     public Settings.StoreLimits limits() {
         return rateLimits.enforced();
     }
 
-    /** Bytes that a value written now may have, so that it can still be rewritten once announced limits are in force. */
+    /**
+     * Returns the maximum size of a new value in bytes. A value within it can still be rewritten once the announced
+     * limits are in force.
+     */
     public int safeValueBytes() {
         return rateLimits.announced().valueBytes();
     }
 
-    /** Conditions that one transaction may have. */
+    /** Returns the maximum number of conditions of one transaction. */
     public int maxConditions() {
         return limits().txnOps() * Constants.Store.CONDITIONS_PER_WRITE;
     }
 
-    /** Gives this node a leader's or a follower's share of the rate limits. */
+    /** Sets this node's share of the rate limits to that of the leader or of a follower. */
     public void setLeader(boolean leading) {
         rateLimits.setLeader(leading);
     }
 
-    /** Takes one request with so many writes from the rate limits; false, and nothing taken, when they are exhausted. */
+    /**
+     * Acquires one request with that many writes; returns false and acquires nothing if the rate limits do not allow
+     * it.
+     */
     public boolean tryAcquire(int writes) {
         return rateLimits.tryAcquire(writes);
     }
 
-    /** Takes one request with so many writes from the rate limits, into debt if need be: for leadership. */
+    /** Acquires one request with that many writes, going into debt if necessary: for requests that leadership needs. */
     public void acquireWithDebt(int writes) {
         rateLimits.acquireWithDebt(writes);
     }
 
-    /** True when less than half of the requests of one second is available to this node. */
+    /** Returns true if this node has fewer available requests than it may send in half a second. */
     public boolean requestBudgetLow() {
         return rateLimits.requestsLow();
     }
 
-    /** True when less than half of a leader's writes of one second is available. */
+    /** Returns true if fewer writes are available than a leader may issue in half a second. */
     public boolean writeBudgetLow() {
         return rateLimits.writesLow();
     }
 
-    /** Writes available now for work that can wait; a part of them is kept for users' requests. */
+    /** Returns the writes available now for deferrable work, excluding the reserve for users' requests. */
     public int availableWrites() {
         return rateLimits.availableWrites();
     }
 
-    /** True while the store carried out a request that was sent lately. A refusal does not count. */
+    /** Returns true if the store has recently processed a request of this node. A refusal does not count. */
     public boolean reachable() {
         return connection.reachable();
     }
 
-    /** Sends a read when no other request has shown lately whether the store can be reached. Takes its own request. */
+    /**
+     * Sends a read if no recent request has shown that the store is reachable. Acquires the request itself, with debt.
+     */
     public void probe() {
         if (connection.probeDue()) {
             acquireWithDebt(0);
@@ -89,7 +101,7 @@
         }
     }
 
-    /** Reads one key. */
+    /** Reads one key. The result is unanswered if the store refuses the read or does not respond in time. */
     public void get(String key, Consumer<ReadResult> onResult) {
         connection.send(
                 "GET",
@@ -100,14 +112,14 @@
     }
 
     /**
-     * Reads all keys under a prefix, page by page; a missing page fails the whole listing. Takes its own requests from the
-     * rate limits.
+     * Reads all keys with a prefix, page by page. If one page gets no success response, the whole listing fails.
+     * Acquires its requests itself, with debt.
      */
     public void list(String prefix, Consumer<ListResult> onResult) {
         listFrom(prefix, "", new ArrayList<>(), 0, onResult);
     }
 
-    /** Reads the page after a key and all that follow; {@code firstRevision} is 0 while no page has been read. */
+    /** Reads the remaining pages after the given key; {@code firstRevision} is 0 until the first page has been read. */
     private void listFrom(
             String prefix,
             String afterKey,
@@ -133,7 +145,8 @@
     }
 
     /**
-     * Waits up to {@code waitMs} for changes under a prefix after a revision. Takes its own request from the rate limits.
+     * Waits up to {@code waitMs} for changes of keys with a prefix after a revision. Acquires its request itself, with
+     * debt.
      */
     public void watch(String prefix, long afterRevision, long waitMs, Consumer<WatchResult> onResult) {
         rateLimits.acquireReadWithDebt();
@@ -143,7 +156,9 @@
                 reply -> onResult.accept(KeyValueStoreCodec.decodeWatch(afterRevision, reply)));
     }
 
-    /** Sends a transaction once. A rejection for its size puts the announced limits in force. */
+    /**
+     * Sends a transaction once. If the store rejects it for its size, the announced limits are assumed to be in force.
+     */
     public void commit(Transaction transaction, Consumer<CommitResult> onResult) {
         connection.send(
                 "POST",
@@ -159,7 +174,10 @@
                 });
     }
 
-    /** Creates a lease; empty when the store refused or gave no answer. Takes its own request from the rate limits. */
+    /**
+     * Creates a lease; the result is empty if the store refused or did not respond. Acquires its request itself, with
+     * debt.
+     */
     public void createLease(long ttlMs, Consumer<OptionalLong> onResult) {
         acquireWithDebt(0);
         connection.send(
@@ -170,7 +188,7 @@
                 reply -> onResult.accept(KeyValueStoreCodec.decodeLease(reply)));
     }
 
-    /** Renews a lease for its whole time. Takes its own request from the rate limits. */
+    /** Renews a lease for its full time to live. Acquires its request itself, with debt. */
     public void renewLease(long lease, Consumer<LeaseRenewal> onResult) {
         acquireWithDebt(0);
         connection.send(
@@ -182,8 +200,8 @@
     }
 
     /**
-     * Ends a lease at once; if the store does not answer, the lease ends with its time. Takes its own request from the
-     * rate limits.
+     * Ends a lease at once. If the request fails, the lease expires after its time to live. Acquires its request
+     * itself, with debt.
      */
     public void endLease(long lease) {
         acquireWithDebt(0);
--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreCodec.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreCodec.java
@@ -11,8 +11,8 @@
 import org.spoolline.net.Json;
 
 /**
- * The key-value store's protocol: paths, bodies and answers. Its words are used here only; on the wire a version or a
- * revision is a "stamp" or the "ledger", a lease is a "ticket", and watching is "follow".
+ * Encodes requests to the key-value store and decodes its responses. Only this class uses the field names of the wire
+ * format: "stamp" is the version of a key, "ledger" the revision of the store, "ticket" a lease and "follow" a watch.
  */
 final class KeyValueStoreCodec {
     static final String COMMIT_PATH = "/commit";
@@ -35,10 +35,10 @@
 
     private KeyValueStoreCodec() {}
 
-    /** One page of a listing; {@code last} is false when more keys follow. */
+    /** One page of a listing; {@code last} is false if more pages follow. */
     record Page(List<VersionedValue> values, long revision, boolean last) {}
 
-    /** True when the store answered, but only that it does not carry out the request now. */
+    /** Returns true for a status by which the store declines a request without processing it. */
     static boolean isRefusal(int status) {
         return status == OVER_RATE_LIMIT || status == UNAVAILABLE;
     }
@@ -104,7 +104,7 @@
         return reply.status() == NOT_FOUND ? ReadResult.of(VersionedValue.absent(key)) : ReadResult.noAnswer();
     }
 
-    /** Decodes a page that the store answered with success. */
+    /** Decodes one page of a listing from a success response. */
     static Page decodePage(Http.Reply reply) {
         JsonNode body = Json.read(reply.body());
         List<VersionedValue> values = new ArrayList<>();
@@ -118,7 +118,7 @@
                 values, body.path(REVISION).asLong(), !body.path("hasNext").asBoolean());
     }
 
-    /** Decodes the answer to a watch after the given revision. */
+    /** Decodes the response to a watch for changes after the given revision. */
     static WatchResult decodeWatch(long afterRevision, Http.Reply reply) {
         if (!reply.ok()) {
             return reply.status() == COMPACTED
@@ -158,7 +158,7 @@
         };
     }
 
-    /** The lease that was created; empty when the store refused, did not answer, or named none. */
+    /** Decodes a created lease; empty if the store refused, did not respond, or returned no lease id. */
     static OptionalLong decodeLease(Http.Reply reply) {
         long lease = reply.ok() ? Json.read(reply.body()).path(LEASE).asLong() : 0;
         return lease == 0 ? OptionalLong.empty() : OptionalLong.of(lease);
--- a/src/main/java/org/spoolline/kvstore/LatencyLog.java
+++ b/src/main/java/org/spoolline/kvstore/LatencyLog.java
@@ -7,8 +7,8 @@
 import org.spoolline.net.Http;
 
 /**
- * Logs once a minute how long the key-value store takes to answer: the first thing to look at in an incident. Watches,
- * which the store answers late on purpose, are not recorded here.
+ * Logs the response latency of the key-value store once a minute, since that is the first figure to check in an
+ * incident. Watches are not recorded: the store delays their responses on purpose.
  */
 final class LatencyLog {
     private static final Logger LOG = LoggerFactory.getLogger(LatencyLog.class);
@@ -21,7 +21,7 @@
     private long unanswered;
     private long lastLoggedAt;
 
-    /** A log whose first line is due a minute from now. */
+    /** Creates a log that writes its first line no earlier than one minute after {@code now}. */
     LatencyLog(long now) {
         lastLoggedAt = now;
     }
@@ -29,8 +29,8 @@
     /**
      * Records one request.
      *
-     * @param status the HTTP status of the answer, that of {@link Http.Reply#NONE} when none came
-     * @param latencyMs ms from sending the request to its answer
+     * @param status the HTTP status of the response, or that of {@link Http.Reply#NONE} if there was none
+     * @param latencyMs ms from sending the request to receiving its response
      * @param now the event loop's time, in ms
      */
     void record(int status, long latencyMs, long now) {
--- a/src/main/java/org/spoolline/kvstore/LeaseRenewal.java
+++ b/src/main/java/org/spoolline/kvstore/LeaseRenewal.java
@@ -2,10 +2,10 @@
 
 /** Result of renewing a lease. */
 public enum LeaseRenewal {
-    /** The lease lives for its whole time again, counted from some moment after the renewal was sent. */
+    /** The lease has its full time to live again, counted from some moment after the request was sent. */
     RENEWED,
-    /** The lease does not exist any more, and neither do the keys written with it. */
+    /** The lease no longer exists, and the store has removed the keys written with it. */
     EXPIRED,
-    /** The store refused or did not answer: the lease may live or not. */
+    /** The store refused or did not respond: the lease may or may not still exist. */
     NO_ANSWER
 }
--- a/src/main/java/org/spoolline/kvstore/ListResult.java
+++ b/src/main/java/org/spoolline/kvstore/ListResult.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * Result of listing the keys under a prefix.
+ * Result of listing the keys with a prefix.
  *
- * @param answered false when a page was refused or got no answer; the values are then empty and mean nothing
- * @param revision the revision of the first page: a watch after it sees every change that a later page may have missed
+ * @param answered false if the store refused a page or did not respond; the empty list of values then says nothing
+ *     about the stored keys
+ * @param revision the revision of the first page; a watch from it reports every change that later pages may have missed
  */
 public record ListResult(boolean answered, List<VersionedValue> values, long revision) {
-    /** A complete listing. */
+    /** Result of a complete listing. */
     static ListResult of(List<VersionedValue> values, long revision) {
         return new ListResult(true, values, revision);
     }
 
-    /** A listing of which at least one page is missing. */
+    /** Result of a listing that lacks at least one page. */
     static ListResult noAnswer() {
         return new ListResult(false, List.of(), 0);
     }
--- a/src/main/java/org/spoolline/kvstore/ReadResult.java
+++ b/src/main/java/org/spoolline/kvstore/ReadResult.java
@@ -2,7 +2,7 @@
 
 import java.util.NoSuchElementException;
 
-/** Result of reading one key: the key as it is stored, or no answer from the store. */
+/** Result of reading one key: its stored state, or that the store refused or did not respond. */
 public final class ReadResult {
     private static final ReadResult NO_ANSWER = new ReadResult(null);
 
@@ -12,25 +12,25 @@
         this.value = value;
     }
 
-    /** An answered read; the key may not exist. */
+    /** Result of an answered read; the key may be absent. */
     static ReadResult of(VersionedValue value) {
         return new ReadResult(value);
     }
 
-    /** A read that the store refused, or that got no answer in time: nothing is known about the key. */
+    /** Result of a read that the store refused or did not answer in time; the state of the key is unknown. */
     static ReadResult noAnswer() {
         return NO_ANSWER;
     }
 
-    /** False when nothing is known about the key. */
+    /** Returns false if the store refused the read or did not respond, so that the state of the key is unknown. */
     public boolean answered() {
         return value != null;
     }
 
     /**
-     * The key as it was stored when the read was answered.
+     * Returns the state of the key at the time of the read.
      *
-     * @throws NoSuchElementException when the read was not {@link #answered}
+     * @throws NoSuchElementException if the read was not {@link #answered}
      */
     public VersionedValue value() {
         if (value == null) {
--- a/src/main/java/org/spoolline/kvstore/StoreConnection.java
+++ b/src/main/java/org/spoolline/kvstore/StoreConnection.java
@@ -5,7 +5,7 @@
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 
-/** Sends requests to the key-value store, and keeps track of whether it answers and how fast. */
+/** Sends requests to the key-value store and tracks whether it is reachable and how fast it responds. */
 final class StoreConnection {
     private final EventLoop loop;
     private final Http.Caller http;
@@ -22,17 +22,17 @@
         this.lastReachedAt = loop.now();
     }
 
-    /** True while the store carried out a request that was sent lately. A refusal does not count. */
+    /** Returns true if the store has recently processed a request of this node. A refusal does not count. */
     boolean reachable() {
         return everReached && loop.now() - lastReachedAt < Constants.Store.STORE_UNREACHABLE_MS;
     }
 
-    /** True when no request has shown lately whether the store can be reached. */
+    /** Returns true if no recent request has shown that the store is reachable. */
     boolean probeDue() {
         return !everReached || loop.now() - lastReachedAt >= Constants.Store.STORE_PROBE_MS;
     }
 
-    /** Sends a request that the store answers at once. */
+    /** Sends a request other than a watch: the store answers it without delay, so its latency is recorded. */
     void send(String method, String path, byte[] body, long timeoutMs, Consumer<Http.Reply> onReply) {
         long sentAt = loop.now();
         http.call(address, method, path, body, timeoutMs, reply -> {
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Sends a watch. The store answers it long after it was sent, so the answer proves that the store was reachable when
-     * it came, and its latency is not recorded.
+     * Sends a watch. The store delays its response until a key changes or the wait time ends. The store therefore
+     * counts as reachable as of the response rather than of the request, and the latency is not recorded.
      */
     void sendWatch(String path, long timeoutMs, Consumer<Http.Reply> onReply) {
         http.call(address, "GET", path, null, timeoutMs, reply -> {
--- a/src/main/java/org/spoolline/kvstore/StoreRateLimits.java
+++ b/src/main/java/org/spoolline/kvstore/StoreRateLimits.java
@@ -8,11 +8,11 @@
 import org.spoolline.net.RateLimiter;
 
 /**
- * The limits of the key-value store and this node's share of its rate limits.
+ * Tracks the limits of the key-value store and enforces this node's share of its rate limits.
  *
- * <p>Two sets of limits matter. The enforced ones are those that the store has now, as far as is known. The announced
- * ones it may have from some moment on, without notice; the first transaction that is rejected for its size although the
- * enforced limits allow it shows that they have come into force.
+ * <p>There are two sets of limits. The enforced limits are those known to be in force. The store may switch to the
+ * announced limits at any time and without notice. The switch is detected by the first transaction that the store
+ * rejects for its size although the enforced limits allow it.
  */
 final class StoreRateLimits {
     private static final Logger LOG = LoggerFactory.getLogger(StoreRateLimits.class);
@@ -25,7 +25,10 @@
 
     private Settings.StoreLimits enforced;
     private boolean leader;
-    /** Requests that a leader keeps from users, so that polls of jobs that don't end can't keep them from ending. */
+    /**
+     * Requests that a leader reserves for its scheduling cycles. Without them, users who poll for unfinished jobs could
+     * use up all requests and so keep these jobs from finishing.
+     */
     private double reservedRequests;
 
     StoreRateLimits(EventLoop loop, Settings settings) {
@@ -38,17 +41,17 @@
         setLeader(false);
     }
 
-    /** The limits known to be in force. */
+    /** Returns the limits known to be in force. */
     Settings.StoreLimits enforced() {
         return enforced;
     }
 
-    /** The least of the limits in force and those announced. */
+    /** Returns the lower of the configured and the announced value of each limit. */
     Settings.StoreLimits announced() {
         return announced;
     }
 
-    /** The store has rejected a size that the enforced limits allow: the announced limits are in force. */
+    /** Puts the announced limits in force, after the store rejected a size that the enforced limits allow. */
     void enforceAnnounced() {
         if (!enforced.equals(announced)) {
             LOG.info(
@@ -63,7 +66,7 @@
         }
     }
 
-    /** Sets this node's share of the rate limits: the leader writes far more than the others. */
+    /** Sets this node's share of the rate limits; the leader's is larger, since it writes far more than a follower. */
     void setLeader(boolean leading) {
         leader = leading;
         double share = rateShare();
@@ -81,7 +84,7 @@
                 : Math.min(Constants.Store.FOLLOWER_REQUEST_SHARE, 1.0 / (controllers - 1));
     }
 
-    /** Takes one request with so many writes from the rate limits; false, and nothing taken, when they are exhausted. */
+    /** Acquires one request with that many writes; returns false and acquires nothing if the limits do not allow it. */
     boolean tryAcquire(int writeCount) {
         long now = loop.now();
         if (requests.available(now) < 1 + reservedRequests || writes.available(now) < writeCount) {
@@ -92,23 +95,23 @@
         return true;
     }
 
-    /** Takes one request with so many writes, into debt if need be. */
+    /** Acquires one request with that many writes, going into debt if necessary. */
     void acquireWithDebt(int writeCount) {
         requests.acquireWithDebt(1, loop.now());
         writes.acquireWithDebt(writeCount, loop.now());
     }
 
-    /** Takes one request without writes, into debt if need be. The writes' limiter is left alone. */
+    /** Acquires one request without writes, going into debt if necessary. The limiter of writes does not change. */
     void acquireReadWithDebt() {
         requests.acquireWithDebt(1, loop.now());
     }
 
-    /** True when less than half of a second's requests is available. */
+    /** Returns true if fewer requests are available than this node may send in half a second. */
     boolean requestsLow() {
         return requests.available(loop.now()) < requests.ratePerS() / 2;
     }
 
-    /** Writes available now for work that can wait; a part of them is kept for users' requests. */
+    /** Returns the writes available now for deferrable work, excluding the reserve for users' requests. */
     int availableWrites() {
         double reservedWrites = enforced.writesPerS() * Constants.Store.USER_WRITE_RESERVE;
         double writeBudget = writes.available(loop.now()) - reservedWrites;
@@ -116,7 +119,7 @@
         return (int) Math.max(0, Math.min(writeBudget, requestBudget));
     }
 
-    /** True when less than half of a leader's writes of one second is available. */
+    /** Returns true if fewer writes are available than a leader may issue in half a second. */
     boolean writesLow() {
         return availableWrites() < enforced.writesPerS() * Constants.Store.LEADER_REQUEST_SHARE / 2;
     }
--- a/src/main/java/org/spoolline/kvstore/Transaction.java
+++ b/src/main/java/org/spoolline/kvstore/Transaction.java
@@ -5,53 +5,53 @@
 import java.util.List;
 
 /**
- * A compare-and-swap transaction under construction: its writes are applied together, and only if every condition holds.
- * The same transaction may be sent more than once.
+ * Builder of a compare-and-swap transaction. The store applies all of its writes atomically, and only if every
+ * condition holds. The same transaction may be sent more than once.
  */
 public final class Transaction {
-    /** A key's version that is required; 0 requires that the key does not exist. */
+    /** Requires that the key has the given version; version 0 requires that the key does not exist. */
     record Condition(String key, long version) {}
 
-    /** One change of a key. */
+    /** One write to a key. */
     sealed interface Write permits Put, LeasedPut, Delete {}
 
-    /** Sets a key. */
+    /** Sets a key to a value. */
     record Put(String key, JsonNode value) implements Write {}
 
-    /** Sets a key that is removed with its lease. */
+    /** Sets a key to a value; the store removes the key when the lease ends. */
     record LeasedPut(String key, JsonNode value, long lease) implements Write {}
 
-    /** Removes a key. */
+    /** Deletes a key. */
     record Delete(String key) implements Write {}
 
     private final List<Condition> conditions = new ArrayList<>();
     private final List<Write> writes = new ArrayList<>();
 
-    /** Requires the key's version; 0 requires that the key does not exist. */
+    /** Adds the condition that the key has the given version; version 0 requires that the key does not exist. */
     public Transaction requireVersion(String key, long version) {
         conditions.add(new Condition(key, version));
         return this;
     }
 
-    /** Sets a key. The value is encoded when the transaction is sent. */
+    /** Adds a write of a key. The value is not copied; it is encoded when the transaction is sent. */
     public Transaction put(String key, JsonNode value) {
         writes.add(new Put(key, value));
         return this;
     }
 
-    /** Sets a key that the store removes when the lease ends. */
+    /** Adds a write of a key that the store removes when the lease ends. */
     public Transaction putWithLease(String key, JsonNode value, long lease) {
         writes.add(new LeasedPut(key, value, lease));
         return this;
     }
 
-    /** Removes a key. */
+    /** Adds the deletion of a key. */
     public Transaction delete(String key) {
         writes.add(new Delete(key));
         return this;
     }
 
-    /** Number of writes so far: what the transaction costs of the write rate limit. */
+    /** Returns the number of writes added so far, each of which counts against the write rate limit. */
     public int writeCount() {
         return writes.size();
     }
--- a/src/main/java/org/spoolline/kvstore/VersionedValue.java
+++ b/src/main/java/org/spoolline/kvstore/VersionedValue.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A key as it is stored: its value and the version that a compare-and-swap on it has to name.
+ * The stored state of a key: its value and the version that a compare-and-swap on it must require.
  *
- * @param value the value; null when the key does not exist
- * @param version the revision that last wrote the key; 0 when the key does not exist
+ * @param value the value; null if the key does not exist
+ * @param version the revision of the last write to the key; 0 if the key does not exist
  */
 public record VersionedValue(String key, JsonNode value, long version) {
-    /** A key that does not exist. A transaction that requires its version 0 creates it. */
+    /** Returns the state of a key that does not exist; its version 0 makes a compare-and-swap create the key. */
     static VersionedValue absent(String key) {
         return new VersionedValue(key, null, 0);
     }
 
-    /** True when the key exists. */
+    /** Returns true if the key exists. */
     public boolean exists() {
         return version != 0;
     }
--- a/src/main/java/org/spoolline/metrics/Counters.java
+++ b/src/main/java/org/spoolline/metrics/Counters.java
@@ -7,7 +7,7 @@
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Json;
 
-/** Counts events since the process began, and logs once a minute how often each one occurred in it. Not thread-safe. */
+/** Counts events since the start of the process and logs their increments once a minute. Not thread-safe. */
 public final class Counters {
     private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
     private static final Event[] EVENTS = Event.values();
@@ -16,32 +16,32 @@
     private final long[] counts = new long[EVENTS.length];
     private final long[] loggedCounts = new long[EVENTS.length];
 
-    /** Counters that start at 0; nothing is logged before {@link #start}. */
+    /** Creates counters that start at 0; nothing is logged before {@link #start}. */
     public Counters(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Begins to log. */
+    /** Starts the periodic logging. */
     public void start() {
         loop.after(Constants.Logging.COUNTERS_LOG_MS, this::log);
     }
 
-    /** Counts one event. */
+    /** Counts one occurrence of the event. */
     public void count(Event event) {
         counts[event.ordinal()]++;
     }
 
-    /** Counts an event that has occurred this many times. */
+    /** Counts the given number of occurrences of the event. */
     public void count(Event event, int times) {
         counts[event.ordinal()] += times;
     }
 
-    /** How often the event has occurred. */
+    /** Returns the number of occurrences of the event since the start of the process. */
     public long get(Event event) {
         return counts[event.ordinal()];
     }
 
-    /** All counts that are not 0, by label. */
+    /** Returns all nonzero counts by label. */
     public ObjectNode toJson() {
         ObjectNode all = Json.object();
         for (Event event : EVENTS) {
@@ -60,7 +60,7 @@
         loop.after(Constants.Logging.COUNTERS_LOG_MS, this::log);
     }
 
-    /** What was counted since the last call, as {@code label=count} pairs with a space before each. */
+    /** Returns the nonzero increments since the last call as {@code label=count} pairs, each preceded by a space. */
     private String takeIncrements() {
         StringBuilder text = new StringBuilder();
         for (Event event : EVENTS) {
--- a/src/main/java/org/spoolline/metrics/Event.java
+++ b/src/main/java/org/spoolline/metrics/Event.java
@@ -2,89 +2,93 @@
 
 import java.util.Locale;
 
-/** The events that a controller counts: requests and launches, each by its outcome and cause. */
+/** Events that a controller counts, such as requests, launches, scheduling cycles and writes by their outcome. */
 public enum Event {
-    /** A heartbeat was answered, which renews the worker's lease. */
+    /** A heartbeat was answered with a renewed lease of the worker. */
     HEARTBEAT_RENEWED,
-    /** A request was rejected because it is no well-formed heartbeat. */
+    /** A heartbeat was rejected because it is malformed. */
     HEARTBEAT_MALFORMED,
     /** A worker was redirected to the leader. */
     HEARTBEAT_REDIRECTED,
-    /** A heartbeat was rejected because no leader is known. */
+    /** A heartbeat was rejected because this controller knows no leader. */
     HEARTBEAT_WITHOUT_LEADER,
-    /** A heartbeat was rejected because its machine counts as terminated. */
+    /** A heartbeat was rejected because its machine is marked as terminated. */
     HEARTBEAT_OF_TERMINATED_MACHINE,
-    /** A worker was made to try the other controllers while the key-value store is unreachable. */
+    /**
+     * A worker was sent to the other controllers to look for a newer leader: this one can't reach the key-value store.
+     */
     HEARTBEAT_LEADER_PROBE,
-    /** A heartbeat was rejected because it is a late copy of an earlier one. */
+    /** A heartbeat was rejected because it is older than one already received. */
     HEARTBEAT_STALE,
     /** A heartbeat was rejected because the leader's view of the jobs exceeds the staleness bound. */
     HEARTBEAT_STALE_VIEW,
 
     /** A launch was ordered. */
     LAUNCH_ORDERED,
-    /** A launch was ordered for an attempt whose end this leader has decided but not stored: never to happen. */
+    /**
+     * A launch was ordered for an attempt that this leader has released but whose end is not stored; must never occur.
+     */
     LAUNCH_OF_RELEASED_ATTEMPT,
-    /** A response carried no launches because the leader's view of the jobs is too old. */
+    /** A response carried no launches because the leader's view of the jobs exceeds the staleness bound. */
     LAUNCH_WITHHELD_STALE_VIEW,
-    /** A gang's launch waits for members that still fetch their image. */
+    /** The launch of a gang was withheld because some of its members are still fetching their image. */
     LAUNCH_WITHHELD_GANG_FETCHING,
-    /** A launch waits because the team's stored attempts exceed its limit. */
+    /** A launch was withheld because the stored attempts of the team exceed its limit. */
     LAUNCH_WITHHELD_TEAM_LIMIT,
-    /** A heartbeat lists an attempt as not exited that the leader has decided to have ended; it is stopped. */
+    /** A heartbeat listed an attempt as not exited that the leader has released; its stop is ordered. */
     HEARTBEAT_LISTED_RELEASED_ATTEMPT,
-    /** A heartbeat lists the rejected launch of an attempt that is not stored; it is cleared. */
+    /** A heartbeat listed the rejected launch of an attempt that is not stored; the worker is told to clear it. */
     REJECTED_LAUNCH_NOT_STORED,
-    /** The stop of a task was ordered. */
+    /** A stop of a task was ordered. */
     STOP_ORDERED,
 
     /** A scheduling cycle completed. */
     CYCLE_COMPLETED,
-    /** A scheduling cycle was skipped because the live jobs were not read yet. */
+    /** A scheduling cycle was skipped because the leader has not yet read the live jobs. */
     CYCLE_SKIPPED_JOBS_UNREAD,
     /** A scheduling cycle was skipped because the leadership lease had expired. */
     CYCLE_SKIPPED_LEASE_EXPIRED,
-    /** A scheduling cycle failed. */
+    /** A scheduling cycle ended with an exception. */
     CYCLE_FAILED,
-    /** Planning failed; the cycle still wrote which tasks had ended. */
+    /** The planning step of a cycle failed; the cycle still wrote the ends of tasks. */
     PLAN_FAILED,
-    /** A task was placed; its launch follows once that is stored. */
+    /** A task was placed; its launch is ordered once the placement is stored. */
     TASK_PLACED,
-    /** The end of an attempt was decided; its capacity counts as free. */
+    /** The leader released an attempt: it decided that the attempt has ended, and counts its capacity as free. */
     ATTEMPT_RELEASED,
-    /** The heartbeats of the leader's machines show a team over its limit: never to happen. */
+    /** The attempts listed in heartbeats exceed the limit of a team; must never occur. */
     TEAM_EXCEEDS_QUOTA,
-    /** A cycle left a write for a later one, since the write budget or the transactions in flight were used up. */
+    /** A cycle deferred a write because the write budget or the limit of transactions in flight was exhausted. */
     WRITE_DEFERRED,
-    /** A write was not stored, by a refusal or a conflict; it is decided anew. */
+    /** A write was abandoned after a refusal or a conflict; a later cycle decides on the job again. */
     WRITE_ABANDONED,
 
-    /** The live jobs were read in full. */
+    /** A full listing of the live jobs succeeded. */
     JOBS_LISTED,
-    /** The live jobs could not be read. */
+    /** A full listing of the live jobs failed. */
     JOBS_LISTING_FAILED,
-    /** A watch of the live jobs got no answer. */
+    /** A watch on the live jobs was refused or got no response. */
     JOBS_WATCH_FAILED,
-    /** A watch asked for history that the key-value store had compacted. */
+    /** A watch on the live jobs failed because the key-value store has compacted the requested history. */
     JOBS_WATCH_COMPACTED,
 
-    /** An election was won. */
+    /** This node won an election. */
     ELECTION_WON,
-    /** An election was lost to another node. */
+    /** This node lost an election to another node. */
     ELECTION_LOST,
-    /** An election got no answer, or a refusal. */
+    /** The key-value store refused an election request of this node or did not respond. */
     ELECTION_UNANSWERED,
 
-    /** A user's request was served. */
+    /** A user's request was processed. */
     USER_SERVED,
-    /** A user's request was rejected as malformed, impossible or about an unknown job. */
+    /** A user's request was rejected because it is malformed, can't be satisfied or names an unknown job. */
     USER_REFUSED,
     /** A user's request was rejected because the rate limit for users is reached. */
     USER_RATE_LIMITED,
     /** A user's request was rejected because the key-value store is unreachable or the machine types are unknown. */
     USER_UNAVAILABLE;
 
-    /** The name in logs and counters. */
+    /** Returns the name of the event in logs and in the counters of the HTTP API. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/spoolline/metrics/StallMonitor.java
+++ b/src/main/java/org/spoolline/metrics/StallMonitor.java
@@ -8,40 +8,42 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Detects a leader that places nothing while jobs wait, and logs the reason as far as the leader knows it. To be called
- * regularly; the situation is inspected only once nothing was placed for {@link Constants.Logging#STALL_MS}, and at most
- * once in that time.
+ * Detects that the leader places no task while jobs wait, and logs the reason as far as the leader knows it. The method
+ * {@link #check} must be called regularly. It inspects the situation only if no task has been placed for
+ * {@link Constants.Logging#STALL_MS}, and at most once per such period.
  */
 public final class StallMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(StallMonitor.class);
 
-    /** Why a leader places nothing. */
+    /** Reason for which a leader places no task. */
     public enum Reason {
-        /** The live jobs could not be read under this fencing token. */
+        /** The leader has not been able to read the live jobs in the current term. */
         JOBS_UNREAD,
-        /** The leadership lease has expired: its renewals are not answered. */
+        /** The leadership lease has expired because its renewals got no response. */
         LEASE_EXPIRED,
         /** Scheduling cycles fail. */
         CYCLES_FAIL,
-        /** Cycles run, but no plan can be made. */
+        /** Scheduling cycles run, but their planning step fails. */
         PLANS_FAIL,
-        /** No machine that takes work sends heartbeats. */
+        /** No machine that accepts work sends heartbeats. */
         NO_SCHEDULABLE_MACHINE,
-        /** The key-value store does not answer, or the rate limit of writes is reached. */
+        /** The key-value store does not respond, or the write rate limit is exhausted. */
         WRITES_BLOCKED,
-        /** Every waiting job waits for its dependencies. */
+        /** All waiting jobs have unsatisfied dependencies. */
         UNSATISFIED_DEPENDENCIES,
-        /** No machine has the capacity for a task that may run, or teams have reached their quotas. */
+        /**
+         * No machine has capacity for any eligible task, or the teams of the waiting jobs have reached their quotas.
+         */
         NO_CAPACITY_OR_QUOTA
     }
 
     /**
-     * What a leader sees.
+     * The situation of a stalled leader.
      *
      * @param reason              the first reason that applies
-     * @param waitingJobs         jobs with tasks that are not placed, including those that wait for dependencies
-     * @param schedulableMachines machines that send heartbeats and take work
-     * @param freeCores           cores of these machines that no stored attempt occupies
+     * @param waitingJobs         jobs with unplaced tasks, including those with unsatisfied dependencies
+     * @param schedulableMachines machines that send heartbeats and accept work
+     * @param freeCores           cores of these machines that no stored attempt uses
      */
     public record Situation(Reason reason, int waitingJobs, int schedulableMachines, double freeCores) {}
 
@@ -50,26 +52,26 @@
     private long lastInspectedAt;
     private Optional<Situation> lastSituation = Optional.empty();
 
-    /** A monitor that counts from now. */
+    /** Creates a monitor whose stall time starts now. */
     public StallMonitor(EventLoop loop) {
         this.loop = loop;
         beginTerm();
     }
 
-    /** Begins a term. */
+    /** Starts a term of leadership: the stall time starts again and the last situation is discarded. */
     public void beginTerm() {
         lastPlacementAt = loop.now();
         lastInspectedAt = loop.now();
         lastSituation = Optional.empty();
     }
 
-    /** Records that a task was placed. */
+    /** Records that a task was placed, which resets the stall time. */
     public void recordPlacement() {
         lastPlacementAt = loop.now();
         lastSituation = Optional.empty();
     }
 
-    /** Inspects the situation if nothing was placed for too long, and logs it if jobs wait. */
+    /** Inspects the situation if no task has been placed for the stall time, and logs it if jobs are waiting. */
     public void check(Supplier<Situation> inspection) {
         long now = loop.now();
         if (now - Math.max(lastPlacementAt, lastInspectedAt) < Constants.Logging.STALL_MS) {
@@ -91,7 +93,7 @@
                 Math.round(situation.freeCores()));
     }
 
-    /** The situation at the last inspection; empty when a task was placed since, or no job waited. */
+    /** Returns the situation at the last inspection; empty if no job was waiting or a task has been placed since. */
     public Optional<Situation> lastSituation() {
         return lastSituation;
     }
--- a/src/main/java/org/spoolline/metrics/package-info.java
+++ b/src/main/java/org/spoolline/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Event counters and the stall monitor, from which an incident can be diagnosed. */
+/** Event counters and the stall monitor, for the diagnosis of incidents. */
 package org.spoolline.metrics;
--- a/src/main/java/org/spoolline/net/DisabledJmx.java
+++ b/src/main/java/org/spoolline/net/DisabledJmx.java
@@ -4,13 +4,13 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Turns JMX off, when named by the system property {@code javax.management.builder.initial}. XNIO registers management
- * beans whenever it can and offers no switch; creating the platform's bean server for them took two fifths of the processor
- * time of a start. XNIO goes on without its beans when the server can't be created.
+ * Disables JMX if the system property {@code javax.management.builder.initial} names this class. XNIO registers MBeans
+ * whenever it can and has no setting against it, and creating the platform MBean server for them takes two fifths of
+ * the CPU time of a start. If the server can't be created, XNIO continues without MBeans.
  */
 public final class DisabledJmx extends MBeanServerBuilder {
     @Override
     public MBeanServerDelegate newMBeanServerDelegate() {
-        throw new UnsupportedOperationException("JMX is off");
+        throw new UnsupportedOperationException("JMX is disabled: no MBean server can be created");
     }
 }
--- a/src/main/java/org/spoolline/net/EventLoop.java
+++ b/src/main/java/org/spoolline/net/EventLoop.java
@@ -1,16 +1,18 @@
 package org.spoolline.net;
 
 /**
- * The one thread on which a node reads and changes all of its state, with its clocks. Simulations replace it by one with
- * virtual time.
+ * The single thread on which a node reads and changes all of its state, and the clocks of that node. Simulations
+ * implement it with virtual time.
  */
 public interface EventLoop {
-    /** Monotonic time in ms; only differences between two readings mean anything. */
+    /** Returns the monotonic time in ms; only differences between two readings are meaningful. */
     long now();
 
-    /** Time of day in ms since the epoch; it may be wrong by as much as the settings allow. */
+    /** Returns the time of day in ms since the epoch, with a clock error within the bound given by the settings. */
     long timeOfDay();
 
-    /** Runs {@code task} on the loop after {@code delayMs} or somewhat later; with 0 or less, as soon as possible. */
+    /**
+     * Runs {@code task} on the loop no earlier than after {@code delayMs}; as soon as possible if that is 0 or less.
+     */
     void after(long delayMs, Runnable task);
 }
--- a/src/main/java/org/spoolline/net/Http.java
+++ b/src/main/java/org/spoolline/net/Http.java
@@ -2,69 +2,69 @@
 
 import java.util.function.Consumer;
 
-/** Requests and responses without any library's types, so that tests can stand in for the network. */
+/** HTTP requests and responses without types of an HTTP library, so that tests can replace the network. */
 public final class Http {
     private Http() {}
 
     /**
-     * A request received.
+     * A received request.
      *
-     * @param path  without the query
-     * @param query the raw query string, or empty
-     * @param body  empty when the request has none
+     * @param path  path without the query
+     * @param query raw query string; empty if there is none
+     * @param body  request body; empty if there is none
      */
     public record Request(String method, String path, String query, byte[] body) {}
 
     /**
      * A response to send.
      *
-     * @param body        JSON, or empty
-     * @param retryAfterS seconds for the header Retry-After; 0 sends none
+     * @param body        JSON; empty for a response without a body
+     * @param retryAfterS value of the Retry-After header in seconds; 0 omits the header
      */
     public record Response(int status, byte[] body, int retryAfterS) {
-        /** A response without Retry-After. */
+        /** Returns a response without a Retry-After header. */
         public static Response of(int status, byte[] body) {
             return new Response(status, body, 0);
         }
     }
 
     /**
-     * The outcome of a call: the response received, or that none was.
+     * The outcome of a call: the received response, or {@link #NONE}.
      *
-     * @param status the HTTP status; 0 when no response came, see {@link #answered}
-     * @param body   empty when no response came
+     * @param status HTTP status; 0 if no response was received, see {@link #answered}
+     * @param body   response body; empty if no response was received
      */
     public record Reply(int status, byte[] body) {
-        /** No response came in time, or the connection failed. */
+        /** Outcome of a call that timed out or whose connection failed. */
         public static final Reply NONE = new Reply(0, new byte[0]);
 
-        /** True for status 200: the target has carried the request out. */
+        /** Returns true for status 200: the target has processed the request. */
         public boolean ok() {
             return status == 200;
         }
 
-        /** False when no response came: the request may or may not have been carried out. */
+        /** Returns false if no response was received: the target may or may not have processed the request. */
         public boolean answered() {
             return status != NONE.status;
         }
     }
 
-    /** Serves requests on the event loop. */
+    /** Handles requests on the event loop. */
     public interface Handler {
-        /** Serves a request; the response is handed to {@code onResponse} exactly once, now or later. */
+        /** Handles a request and passes its response to {@code onResponse} exactly once, before or after returning. */
         void handle(Request request, Consumer<Response> onResponse);
     }
 
-    /** Sends requests; used on the event loop. */
+    /** Sends requests; must be used on the event loop. */
     public interface Caller {
         /**
          * Sends a request.
          *
-         * @param target    host:port
-         * @param path      with the query, if any
-         * @param body      JSON, or null for a request without a body
-         * @param timeoutMs ms after which the call ends without a response
-         * @param onReply      runs on the event loop exactly once
+         * @param target    address as host:port
+         * @param path      path, including the query if there is one
+         * @param body      JSON; null for a request without a body
+         * @param timeoutMs ms after which the call ends with {@link Reply#NONE}
+         * @param onReply   receives the outcome on the event loop, exactly once
          */
         void call(String target, String method, String path, byte[] body, long timeoutMs, Consumer<Reply> onReply);
     }
--- a/src/main/java/org/spoolline/net/IdleConnections.java
+++ b/src/main/java/org/spoolline/net/IdleConnections.java
@@ -9,22 +9,23 @@
 import org.xnio.IoUtils;
 
 /**
- * Open connections that no call uses, by target. Bounded, since every worker is called now and then and sockets are few:
- * the connections to the target that was used longest ago are closed first. Used on the event loop only.
+ * Pool of open connections that no call uses, by target. The pool is bounded, since every worker is called occasionally
+ * and the number of sockets is limited. If it is full, it closes connections to the least recently used target first.
+ * Must be used on the event loop.
  */
 final class IdleConnections {
     private final int capacity;
-    /** In the order of access; the target that was used longest ago comes first. */
+    /** In access order: the least recently used target is first. */
     private final Map<String, Deque<ClientConnection>> byTarget = new LinkedHashMap<>(16, 0.75f, true);
 
     private int size;
 
-    /** Keeps at most {@code capacity} connections. */
+    /** Creates a pool of at most {@code capacity} connections. */
     IdleConnections(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Takes the connection to the target that was used last; null when none is open. */
+    /** Removes and returns the most recently used open connection to the target; null if there is none. */
     ClientConnection acquire(String target) {
         Deque<ClientConnection> connections = byTarget.get(target);
         while (connections != null && !connections.isEmpty()) {
@@ -37,7 +38,7 @@
         return null;
     }
 
-    /** Adds a connection whose call has ended, and closes others if there are too many now. */
+    /** Adds a connection whose call has ended, and closes connections while the pool exceeds its capacity. */
     void add(String target, ClientConnection connection) {
         byTarget.computeIfAbsent(target, t -> new ArrayDeque<>()).push(connection);
         size++;
--- a/src/main/java/org/spoolline/net/Json.java
+++ b/src/main/java/org/spoolline/net/Json.java
@@ -11,29 +11,31 @@
 import java.io.UncheckedIOException;
 import org.spoolline.codec.TreeCodec;
 
-/** Reads and writes JSON as trees. Heartbeats, which are many, are read by {@link #parser} without a tree. */
+/**
+ * Reads and writes JSON as trees. Heartbeats are so frequent that they are read without a tree, with {@link #parser}.
+ */
 public final class Json {
     private static final JsonFactory FORMAT = new JsonFactory();
     private static final TreeCodec CODEC = new TreeCodec(FORMAT);
 
     private Json() {}
 
-    /** A parser for content that is read token by token. */
+    /** Returns a streaming parser for the bytes. */
     public static JsonParser parser(byte[] bytes) throws IOException {
         return FORMAT.createParser(bytes);
     }
 
-    /** A new, empty JSON object. */
+    /** Returns a new, empty JSON object. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** A new, empty JSON array. */
+    /** Returns a new, empty JSON array. */
     public static ArrayNode array() {
         return JsonNodeFactory.instance.arrayNode();
     }
 
-    /** The tree, or a missing node when the bytes are not JSON. */
+    /** Parses the bytes into a tree; returns a missing node if they are not JSON. */
     public static JsonNode read(byte[] bytes) {
         try {
             return CODEC.read(bytes);
@@ -42,12 +44,12 @@
         }
     }
 
-    /** The body of every response that reports an error. */
+    /** Returns the body of an error response with the given message. */
     public static byte[] error(String message) {
         return bytes(object().put("error", message));
     }
 
-    /** The encoded tree. */
+    /** Encodes the tree. */
     public static byte[] bytes(JsonNode tree) {
         try {
             return CODEC.write(tree);
--- a/src/main/java/org/spoolline/net/RateLimiter.java
+++ b/src/main/java/org/spoolline/net/RateLimiter.java
@@ -3,35 +3,35 @@
 import org.spoolline.config.Constants;
 
 /**
- * Token bucket: a rate limit in units a second that refills steadily and holds the units of one second, or one unit where
- * the rate is below one a second.
+ * Token bucket rate limiter. The bucket refills at a constant rate in permits per second. It holds at most the permits
+ * of one second, or one permit if the rate is below one per second.
  *
- * <p>Times are in ms of the event loop's clock and must not go backwards. Not thread-safe: used on the event loop.
+ * <p>Times are in ms of the event loop's clock and must not decrease. Not thread-safe: must be used on the event loop.
  */
 public final class RateLimiter {
     private static final double MS_PER_S = 1000;
 
     private double ratePerS;
-    /** Units that can be taken now; negative while in debt. */
+    /** Permits available as of {@link #refilledAt}; negative while in debt. */
     private double available;
 
     private long refilledAt;
 
-    /** A full bucket with a rate in units a second. */
+    /** Creates a limiter with a full bucket and a rate in permits per second. */
     public RateLimiter(double ratePerS, long now) {
         this.ratePerS = ratePerS;
         this.available = ratePerS;
         this.refilledAt = now;
     }
 
-    /** Changes the rate, in units a second. What the bucket holds beyond the units of one second is dropped. */
+    /** Changes the rate, in permits per second. Permits beyond those of one second at the new rate are discarded. */
     public void setRate(double newRatePerS, long now) {
         refill(now);
         ratePerS = newRatePerS;
         available = Math.min(available, ratePerS);
     }
 
-    /** Takes so many units if they are available; false, and nothing taken, otherwise. */
+    /** Acquires the given number of permits if available; otherwise returns false and acquires none. */
     public boolean tryAcquire(double amount, long now) {
         refill(now);
         if (available < amount) {
@@ -41,20 +41,23 @@
         return true;
     }
 
-    /** Takes so many units, into debt if need be, for what must not wait; everything else waits for the refill. */
+    /**
+     * Acquires the given number of permits even if they are not available, for requests that must not be delayed. All
+     * other requests are delayed until the refill has covered the debt.
+     */
     public void acquireWithDebt(double amount, long now) {
         refill(now);
-        // Bounded, since requests sent again and again through a long outage would otherwise stop all other work for
-        // minutes after it.
+        // The debt is bounded. Otherwise retries during a long outage would block all other requests for minutes
+        // afterwards.
         available = Math.max(available - amount, -ratePerS * Constants.Store.RATE_LIMITER_DEBT_S);
     }
 
-    /** The rate, in units a second. */
+    /** Returns the rate in permits per second. */
     public double ratePerS() {
         return ratePerS;
     }
 
-    /** Units available now; negative while in debt. */
+    /** Returns the permits available now; negative while in debt. */
     public double available(long now) {
         refill(now);
         return available;
--- a/src/main/java/org/spoolline/net/Timeout.java
+++ b/src/main/java/org/spoolline/net/Timeout.java
@@ -6,9 +6,10 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Ends a call after a time. A loop that was busy runs the timers that are due before it reads the responses that arrived in
- * the meantime, so that it gave up renewals of leadership that had long been answered. A timer that fires late therefore
- * lets the loop read from the network first, for as long as the loop was late.
+ * Timeout of a call. After a period in which it was busy, the event loop runs the timers that are due before it reads
+ * the responses that arrived in the meantime. It would then time out calls that have already been answered, such as
+ * renewals of the leadership lease. A timer that fires late by more than a margin is therefore extended by the
+ * time it was late, up to a limit, so that the loop reads from the network first.
  */
 final class Timeout {
     private final XnioExecutor executor;
@@ -18,8 +19,8 @@
     /**
      * Starts the timeout.
      *
-     * @param clockMs monotonic time in ms
-     * @param onExpired runs on the executor, unless the timeout is cancelled before
+     * @param clockMs returns the monotonic time in ms
+     * @param onExpired runs on the executor when the timeout expires, unless the timeout was cancelled
      */
     Timeout(XnioExecutor executor, LongSupplier clockMs, long timeoutMs, Runnable onExpired) {
         this.executor = executor;
@@ -37,7 +38,7 @@
         }
     }
 
-    /** Keeps {@code onExpired} from running; without effect once it has run. */
+    /** Prevents {@code onExpired} from running; has no effect if it has already run. */
     void cancel() {
         key.remove();
     }
--- a/src/main/java/org/spoolline/net/UndertowCall.java
+++ b/src/main/java/org/spoolline/net/UndertowCall.java
@@ -18,8 +18,8 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One request and its response. Every step that can't go on at once is resumed by a callback on the event loop; whichever
- * of response, failure and timeout comes first ends the call, and the others are ignored.
+ * One outgoing request and its response. A step that would block is resumed by a callback on the event loop. The first
+ * of response, failure and timeout ends the call; later ones are ignored.
  */
 final class UndertowCall {
     private final UndertowCaller caller;
@@ -32,7 +32,7 @@
     private Timeout timeout;
     private boolean ended;
 
-    /** A call that is not started yet; {@code body} is null for a request without one. */
+    /** Creates a call without starting it; {@code body} is null for a request without a body. */
     UndertowCall(
             UndertowCaller caller,
             String target,
@@ -48,7 +48,7 @@
         this.onReply = onReply;
     }
 
-    /** Sends the request on an idle connection, or on a new one when there is none. */
+    /** Sends the request on an idle connection to the target, or on a new connection if there is none. */
     void start(long timeoutMs) {
         timeout = caller.startTimeout(timeoutMs, this::fail);
         ClientConnection idle = caller.acquireIdle(target);
@@ -165,7 +165,7 @@
         caller.deliver(Http.Reply.NONE, onReply);
     }
 
-    /** Goes on with the call after a step of Undertow's that succeeded, and fails the call after one that did not. */
+    /** Callback of an asynchronous Undertow operation: passes its result to the next step, or fails the call. */
     private final class StepCallback<T> implements ClientCallback<T> {
         private final Consumer<T> onSuccess;
 
--- a/src/main/java/org/spoolline/net/UndertowCaller.java
+++ b/src/main/java/org/spoolline/net/UndertowCaller.java
@@ -11,11 +11,11 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Sends requests over connections that are kept open between calls, one request at a time on each. Used on the event loop
- * only.
+ * Sends requests over connections that are kept open between calls, with one request at a time per connection. Must be
+ * used on the event loop.
  */
 public final class UndertowCaller implements Http.Caller {
-    /** Named here, since looking providers up loads those of every protocol. */
+    /** Instantiated directly, since a service lookup would load the providers of all protocols. */
     private static final ClientProvider HTTP = new HttpClientProvider();
 
     private final XnioIoThread thread;
@@ -23,7 +23,7 @@
     private final IdleConnections idle;
     private final ExceptionBoundary boundary;
 
-    /** Keeps at most {@code maxIdleConnections} connections open between calls. */
+    /** Creates a caller that keeps at most {@code maxIdleConnections} connections open between calls. */
     public UndertowCaller(
             XnioIoThread thread, ByteBufferPool buffers, int maxIdleConnections, ExceptionBoundary boundary) {
         this.thread = thread;
@@ -38,12 +38,12 @@
         new UndertowCall(this, target, method, path, body, onReply).start(timeoutMs);
     }
 
-    /** Runs {@code onExpired} on the event loop unless the timeout is cancelled before. */
+    /** Starts a timeout that runs {@code onExpired} on the event loop unless it is cancelled before. */
     Timeout startTimeout(long timeoutMs, Runnable onExpired) {
         return new Timeout(thread, XnioEventLoop::clockMs, timeoutMs, onExpired);
     }
 
-    /** An idle connection to the target; null when there is none. */
+    /** Removes and returns an idle connection to the target; null if there is none. */
     ClientConnection acquireIdle(String target) {
         return idle.acquire(target);
     }
@@ -53,12 +53,17 @@
         HTTP.connect(callback, URI.create("http://" + target), thread, null, buffers, OptionMap.EMPTY);
     }
 
-    /** Makes the connection idle, but only after Undertow's own stack frames have completed the exchange. */
+    /**
+     * Returns the connection to the idle pool. The pool must not receive it before Undertow has completed the exchange,
+     * so that is done in a later task of the event loop.
+     */
     void release(String target, ClientConnection connection) {
         thread.execute(() -> idle.add(target, connection));
     }
 
-    /** Hands a reply to the code that made the call; an exception there must not reach Undertow. */
+    /**
+     * Passes a reply to the callback of the call. Exceptions of the callback are caught, so that none reaches Undertow.
+     */
     void deliver(Http.Reply reply, Consumer<Http.Reply> onReply) {
         boundary.run(
                 reply.answered() ? "response callback" : "callback of unanswered call", () -> onReply.accept(reply));
--- a/src/main/java/org/spoolline/net/UndertowServer.java
+++ b/src/main/java/org/spoolline/net/UndertowServer.java
@@ -20,14 +20,19 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Listens on addresses and hands the requests to their handlers, on the event loop. */
+/** Listens on addresses and passes requests to their handlers on the event loop. */
 public final class UndertowServer {
     private final XnioWorker worker;
     private final ByteBufferPool buffers;
     private final int backlog;
     private final ExceptionBoundary boundary;
 
-    /** {@code backlog}: connections that may wait to be accepted, for the time when the workers of a node that ended connect. */
+    /**
+     * Creates a server that does not listen yet.
+     *
+     * @param backlog maximum number of connections that wait to be accepted, which must cover the workers that
+     *     reconnect to this node at once after another node has ended
+     */
     public UndertowServer(XnioWorker worker, ByteBufferPool buffers, int backlog, ExceptionBoundary boundary) {
         this.worker = worker;
         this.buffers = buffers;
@@ -35,7 +40,7 @@
         this.boundary = boundary;
     }
 
-    /** Starts listening on host:port; throws an IOException when the address can't be bound. */
+    /** Starts to listen on an address given as host:port; throws an IOException if the address can't be bound. */
     public void listen(String address, Http.Handler handler) throws IOException {
         OptionMap http = OptionMap.builder()
                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
@@ -75,7 +80,9 @@
         read(exchange, exchange.getRequestChannel(), body, handler);
     }
 
-    /** Reads the body in bulk: Undertow's own receiver copies it byte by byte, half the cost of a heartbeat. */
+    /**
+     * Reads the body in chunks: Undertow's own receiver copies it byte by byte, which is half the cost of a heartbeat.
+     */
     private void read(
             HttpServerExchange exchange, StreamSourceChannel source, ByteBuffer received, Http.Handler handler) {
         ByteBuffer body = received;
@@ -116,8 +123,8 @@
         }
         Http.Request request = new Http.Request(
                 exchange.getRequestMethod().toString(), exchange.getRequestPath(), exchange.getQueryString(), body);
-        // Within this call: each queued request would be one more task of the loop, which reads from the network and
-        // runs its timers only when no task is left.
+        // The handler runs within this call. A request queued as a task of the loop would delay network reads and
+        // timers, which the loop processes only when its task queue is empty.
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             boolean succeeded = boundary.run(
                     request.method() + " " + request.path(),
--- a/src/main/java/org/spoolline/net/XnioEventLoop.java
+++ b/src/main/java/org/spoolline/net/XnioEventLoop.java
@@ -3,18 +3,21 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioIoThread;
 
-/** The event loop of a real process: the only I/O thread of its XNIO worker. Tasks may be added from any thread. */
+/** Event loop on the only I/O thread of an XNIO worker, for production. Tasks may be added from any thread. */
 public final class XnioEventLoop implements EventLoop {
     private final XnioIoThread thread;
     private final ExceptionBoundary boundary;
 
-    /** Runs tasks on the given thread, each within the boundary, so that one that fails does not end the thread. */
+    /**
+     * Creates a loop that runs tasks on the given thread, each within the boundary, so that a failed task does not end
+     * the thread.
+     */
     public XnioEventLoop(XnioIoThread thread, ExceptionBoundary boundary) {
         this.thread = thread;
         this.boundary = boundary;
     }
 
-    /** Monotonic time in ms. */
+    /** Returns the monotonic time in ms. */
     static long clockMs() {
         return System.nanoTime() / 1_000_000;
     }
--- a/src/test/java/org/spoolline/autoscaler/CloudCodecTest.java
+++ b/src/test/java/org/spoolline/autoscaler/CloudCodecTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.spoolline.cluster.Machine;
 
-/** The exact wire form of the requests to the cloud, and how its replies are read. */
+/** Tests the exact wire format of requests to the cloud and the parsing of its replies. */
 class CloudCodecTest {
     private static byte[] bytes(String json) {
         return json.getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/org/spoolline/autoscaler/ReleasePolicyTest.java
+++ b/src/test/java/org/spoolline/autoscaler/ReleasePolicyTest.java
@@ -13,7 +13,7 @@
 import org.spoolline.config.Settings;
 import org.spoolline.simulation.Simulation;
 
-/** For which reason a machine is released, and which idle machines are kept. */
+/** Tests the reasons for which machines are released, and which idle machines are retained. */
 class ReleasePolicyTest {
     private static final long NOW = 1_000_000;
     private static final long BOOT_MS = 10_000;
@@ -33,8 +33,8 @@
         return new Machine("m-1", TYPE.name(), "a", false, knownSince);
     }
 
-    /** A machine known from the start whose last heartbeat was so long ago. */
-    private static Machine withHeartbeat(long agoMs) {
+    /** Returns a machine known since time 0 whose last heartbeat was received {@code agoMs} before now. */
+    private static Machine machineWithHeartbeat(long agoMs) {
         Machine machine = machine(0);
         Heartbeat heartbeat = new Heartbeat("m-1", "m-1:9", TYPE.name(), "a", false, 1, 1, 0, null, List.of());
         machine.accept(heartbeat, 16_000, NOW - agoMs);
@@ -52,21 +52,21 @@
 
     @Test
     void releasesMachineAfterHeartbeatTimeout() {
-        Machine machine = withHeartbeat(Constants.Autoscaling.MACHINE_LOST_MS + 1);
+        Machine machine = machineWithHeartbeat(Constants.Autoscaling.MACHINE_LOST_MS + 1);
         assertEquals(
                 Optional.of(ReleaseReason.HEARTBEAT_TIMEOUT), policy(0, false).reasonToRelease(machine));
     }
 
     @Test
     void keepsMachineWithWorkAndMarksItBusy() {
-        Machine machine = withHeartbeat(Constants.Autoscaling.MACHINE_LOST_MS + 1);
+        Machine machine = machineWithHeartbeat(Constants.Autoscaling.MACHINE_LOST_MS + 1);
         assertEquals(Optional.empty(), policy(0, true).reasonToRelease(machine));
         assertEquals(NOW, machine.idleSince());
     }
 
     @Test
     void keepsIdleMachineForRecentDemandUpToBootTime() {
-        Machine machine = withHeartbeat(0);
+        Machine machine = machineWithHeartbeat(0);
         machine.markBusy(NOW - BOOT_MS);
         assertEquals(Optional.of(ReleaseReason.IDLE), policy(7, false).reasonToRelease(machine));
         assertEquals(Optional.empty(), policy(8, false).reasonToRelease(machine));
@@ -76,7 +76,7 @@
 
     @Test
     void keepsIdleMachinesOnlyUpToRecentDemand() {
-        Machine machine = withHeartbeat(0);
+        Machine machine = machineWithHeartbeat(0);
         machine.markBusy(NOW - BOOT_MS);
         ReleasePolicy policy = policy(12, false);
         assertEquals(Optional.empty(), policy.reasonToRelease(machine));
@@ -85,7 +85,7 @@
 
     @Test
     void releasesDrainedMachineWithoutWork() {
-        Machine machine = withHeartbeat(0);
+        Machine machine = machineWithHeartbeat(0);
         machine.markBusy(NOW);
         assertEquals(Optional.empty(), policy(0, false).reasonToRelease(machine));
         machine.drain();
--- a/src/test/java/org/spoolline/codec/TreeCodecTest.java
+++ b/src/test/java/org/spoolline/codec/TreeCodecTest.java
@@ -18,7 +18,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The codec reads and writes trees as Jackson's own mapper does: stored values and messages must not change with it. */
+/**
+ * Tests that the codec is equivalent to Jackson's ObjectMapper, on which the form of stored values and messages relies.
+ */
 class TreeCodecTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final TreeCodec JSON = new TreeCodec(new JsonFactory());
@@ -71,15 +73,15 @@
         assertEquals(tree, CBOR.read(bytes));
     }
 
-    /** Parsers tell the end of a cut message in their own ways: by an exception or by a missing token. */
+    /** A parser reports truncated content either by an exception or by a null token; the codec must reject both. */
     @Test
     void rejectsTruncatedCbor() throws IOException {
         ObjectNode tree = JsonNodeFactory.instance.objectNode().put("body", new byte[] {1, 2, 3});
         tree.putArray("list").add(1).add("two").addObject().put("three", 3);
         byte[] bytes = CBOR.write(tree);
         for (int length = 1; length < bytes.length; length++) {
-            byte[] cut = Arrays.copyOf(bytes, length);
-            assertThrows(IOException.class, () -> CBOR.read(cut), "cut to " + cut.length);
+            byte[] truncated = Arrays.copyOf(bytes, length);
+            assertThrows(IOException.class, () -> CBOR.read(truncated), "truncated to " + truncated.length);
         }
     }
 }
--- a/src/test/java/org/spoolline/kvstore/KeyValueStoreClientTest.java
+++ b/src/test/java/org/spoolline/kvstore/KeyValueStoreClientTest.java
@@ -15,7 +15,10 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** A client's rate limits, and what it takes an answer to prove. */
+/**
+ * Tests the rate limits of the client, the switch to the announced limits, and which responses prove that the store is
+ * reachable.
+ */
 class KeyValueStoreClientTest {
     private static final Settings.StoreLimits ANNOUNCED = new Settings.StoreLimits(100, 40, 2_048, 4, null);
 
@@ -49,8 +52,8 @@
         done.accept(reply);
     }
 
-    /** Requests with one write each that the rate limits allow at once. */
-    private int acquired() {
+    /** Returns how many requests with one write each the rate limits allow at once. */
+    private int acquireAll() {
         int count = 0;
         while (store.tryAcquire(1)) {
             count++;
@@ -61,11 +64,11 @@
     @Test
     void leaderGetsLargerRateShareThanFollower() {
         loop.advanceWithoutTimers(10_000);
-        assertEquals(30, acquired());
+        assertEquals(30, acquireAll());
         store.setLeader(true);
         loop.advanceWithoutTimers(10_000);
-        // A tenth of all requests is kept for the leader's own cycles.
-        assertEquals(60, acquired());
+        // The leader's share is 70 requests; a tenth of all requests is reserved for its scheduling cycles.
+        assertEquals(60, acquireAll());
     }
 
     @Test
@@ -79,7 +82,7 @@
         assertEquals(ANNOUNCED, store.limits());
         assertEquals(16, store.maxConditions());
         loop.advanceWithoutTimers(10_000);
-        assertEquals(12, acquired());
+        assertEquals(12, acquireAll());
     }
 
     @Test
@@ -99,7 +102,7 @@
         store.probe();
         assertTrue(store.reachable());
         store.probe();
-        assertEquals(2, paths.size(), "nothing is sent while the last answer is recent");
+        assertEquals(2, paths.size(), "no probe while the last response is recent");
         loop.advanceWithoutTimers(4_000);
         assertFalse(store.reachable());
     }
--- a/src/test/java/org/spoolline/kvstore/KeyValueStoreCodecTest.java
+++ b/src/test/java/org/spoolline/kvstore/KeyValueStoreCodecTest.java
@@ -12,7 +12,7 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** The store's protocol, byte for byte where this program writes it. */
+/** Tests the wire format of the key-value store; encoded requests are compared byte for byte. */
 class KeyValueStoreCodecTest {
     private static Http.Reply reply(int status, String body) {
         return new Http.Reply(status, body.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/org/spoolline/metrics/MetricsTest.java
+++ b/src/test/java/org/spoolline/metrics/MetricsTest.java
@@ -7,12 +7,12 @@
 import org.spoolline.config.Constants;
 import org.spoolline.net.FakeEventLoop;
 
-/** Counters, and the reason that a leader which places nothing logs. */
+/** Tests the event counters and the detection of a leader that places no tasks. */
 class MetricsTest {
     private final FakeEventLoop loop = new FakeEventLoop();
     private int inspections;
 
-    private StallMonitor.Situation waiting(int jobs) {
+    private StallMonitor.Situation situationWithWaitingJobs(int jobs) {
         inspections++;
         return new StallMonitor.Situation(StallMonitor.Reason.NO_SCHEDULABLE_MACHINE, jobs, 0, 0);
     }
@@ -29,15 +29,15 @@
         assertEquals(3, counters.get(Event.TASK_PLACED));
     }
 
-    /** Without this, a leader without machines can't be distinguished from one without jobs. */
+    /** Without the inspection, the log doesn't distinguish a leader without machines from a leader without jobs. */
     @Test
     void inspectsStalledLeaderOncePerStallInterval() {
         StallMonitor stalls = new StallMonitor(loop);
-        stalls.check(() -> waiting(2));
+        stalls.check(() -> situationWithWaitingJobs(2));
         assertEquals(0, inspections);
         loop.advanceWithoutTimers(Constants.Logging.STALL_MS);
-        stalls.check(() -> waiting(2));
-        stalls.check(() -> waiting(2));
+        stalls.check(() -> situationWithWaitingJobs(2));
+        stalls.check(() -> situationWithWaitingJobs(2));
         assertEquals(1, inspections);
         assertEquals(
                 StallMonitor.Reason.NO_SCHEDULABLE_MACHINE,
@@ -45,7 +45,7 @@
         stalls.recordPlacement();
         assertEquals(Optional.empty(), stalls.lastSituation());
         loop.advanceWithoutTimers(Constants.Logging.STALL_MS - 1);
-        stalls.check(() -> waiting(2));
+        stalls.check(() -> situationWithWaitingJobs(2));
         assertEquals(1, inspections);
     }
 
@@ -53,7 +53,7 @@
     void leaderWithoutWaitingJobsIsNotStalled() {
         StallMonitor stalls = new StallMonitor(loop);
         loop.advanceWithoutTimers(Constants.Logging.STALL_MS);
-        stalls.check(() -> waiting(0));
+        stalls.check(() -> situationWithWaitingJobs(0));
         assertEquals(1, inspections);
         assertEquals(Optional.empty(), stalls.lastSituation());
     }
--- a/src/test/java/org/spoolline/net/ExceptionBoundaryTest.java
+++ b/src/test/java/org/spoolline/net/ExceptionBoundaryTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.spoolline.config.Constants;
 
+/** Tests that an exception of a task is contained, and that an error ends the process. */
 class ExceptionBoundaryTest {
     private final List<Integer> exitCodes = new ArrayList<>();
     private final ExceptionBoundary boundary = new ExceptionBoundary(exitCodes::add);
@@ -22,7 +23,10 @@
         assertEquals(List.of(), exitCodes);
     }
 
-    /** A class that could not be loaded once left a leader that answered heartbeats and decided nothing. */
+    /**
+     * A process that survives an error, such as a class that can't be loaded, may answer heartbeats as the leader
+     * although all of its scheduling cycles fail.
+     */
     @Test
     void errorEndsProcess() {
         assertFalse(boundary.run("a task", () -> {
--- a/src/test/java/org/spoolline/net/FakeEventLoop.java
+++ b/src/test/java/org/spoolline/net/FakeEventLoop.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** An event loop whose time a test sets, and whose timers may all fire late. */
+/** Event loop with virtual time that a test advances, and with an optional delay of all timers. */
 public final class FakeEventLoop implements EventLoop {
     private record Timer(long at, Runnable task) {}
 
@@ -28,17 +28,17 @@
         timers.add(new Timer(now + delayMs, task));
     }
 
-    /** From now on each timer fires this much after it is due. */
+    /** Makes each timer fire {@code ms} after its due time from now on. */
     public void delayTimersBy(long ms) {
         timerDelayMs = ms;
     }
 
-    /** Lets time pass while the loop is busy, so that no timer fires. */
+    /** Advances the time without running timers, like a loop that is busy. */
     public void advanceWithoutTimers(long ms) {
         now += ms;
     }
 
-    /** Runs the timers that are due by then. */
+    /** Runs the timers that are due by the given time, then sets the time to it. */
     public void runTo(long until) {
         for (Optional<Timer> timer = earliestTimer();
                 timer.isPresent() && timer.get().at() <= until;
@@ -48,7 +48,7 @@
         now = until;
     }
 
-    /** Runs timers until none is left. */
+    /** Runs timers, including those added meanwhile, until none is left. */
     public void runAll() {
         for (Optional<Timer> timer = earliestTimer(); timer.isPresent(); timer = earliestTimer()) {
             fire(timer.get());
--- a/src/test/java/org/spoolline/net/IdleConnectionsTest.java
+++ b/src/test/java/org/spoolline/net/IdleConnectionsTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which idle connections are used again, and which are closed when there are too many. */
+/** Tests which idle connections are reused, and which are closed above the capacity of the pool. */
 class IdleConnectionsTest {
     private final List<String> closed = new ArrayList<>();
 
@@ -43,13 +43,13 @@
         IdleConnections idle = new IdleConnections(4);
         ClientConnection open = connection("open");
         idle.add("a", open);
-        idle.add("a", connection("shut"));
-        closed.add("shut");
+        idle.add("a", connection("closed"));
+        closed.add("closed");
         assertSame(open, idle.acquire("a"));
         assertNull(idle.acquire("a"));
     }
 
-    /** Of the target that was used longest ago, the connection that was used longest ago. */
+    /** Closes the least recently used connection of the least recently used target. */
     @Test
     void closesLeastRecentlyUsedConnectionsAboveCapacity() {
         IdleConnections idle = new IdleConnections(3);
--- a/src/test/java/org/spoolline/net/TimeoutTest.java
+++ b/src/test/java/org/spoolline/net/TimeoutTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.xnio.XnioExecutor;
 
-/** Timeouts on an event loop whose lateness the test decides. */
+/** Tests timeouts on an event loop whose timers fire late by an amount that the test sets. */
 class TimeoutTest {
     private final List<Runnable> timers = new ArrayList<>();
     private final List<Long> delays = new ArrayList<>();
@@ -46,7 +46,9 @@
         assertEquals(List.of(), timers);
     }
 
-    /** A response that arrived before the late timer is read first, and cancels it. */
+    /**
+     * A response that arrived while the loop was busy must be read before the call times out; it cancels the timeout.
+     */
     @Test
     void lateTimerLetsLoopReadNetworkFirst() {
         Timeout timeout = new Timeout(loop, () -> now, 1_000, () -> expired++);
