--- a/src/main/java/org/spoolline/pipeline/PipelineCodec.java
+++ b/src/main/java/org/spoolline/pipeline/PipelineCodec.java
@@ -10,22 +10,24 @@
 import org.spoolline.net.Json;
 
 /**
- * The stored value of a job. Other versions read what this one writes, so names, order and meaning of the fields stay as
- * they are; unknown fields are ignored. There are three versions of it:
+ * Converts a pipeline to and from the stored value of its job. Controllers of other versions read the values that this
+ * version writes, so the names, order and meaning of the fields must not change. Unknown fields are ignored. A stored
+ * value has one of three versions:
  *
  * <ul>
- *   <li>{@link Constants.Job#PIPELINE_VERSION}: a job whose tasks may run, with its attempts as bits;
- *   <li>{@link Constants.Job#PIPELINE_VERSION_DEPENDENT}: a job without listed attempts, since it waits for dependencies
- *       or is cancelled with unlisted attempts;
- *   <li>{@link Constants.Job#PIPELINE_VERSION_LEGACY}: attempts as text; read, and written in the current version with
- *       the job's next step.
+ *   <li>{@link Constants.Job#PIPELINE_VERSION}: a job whose tasks may run, with its attempts as bit strings ({@link
+ *       AttemptsCodec});
+ *   <li>{@link Constants.Job#PIPELINE_VERSION_DEPENDENT}: a job without listed attempts, because it waits for
+ *       dependencies or is cancelled with unlisted attempts;
+ *   <li>{@link Constants.Job#PIPELINE_VERSION_LEGACY}: a job with its attempts as text. This version is only read; the
+ *       next write of the job's value uses the current version.
  * </ul>
  */
 final class PipelineCodec {
     private static final String VERSION = "ver";
     private static final String SUBMISSION = "job";
     private static final String ELIGIBLE_AT = "at";
-    /** Left out where the job was eligible when it was submitted. */
+    /** Omitted if the job was already eligible when it was submitted. */
     private static final String SUBMITTED_AT = "sub";
 
     private static final String CANCELLED = "cancelled";
@@ -41,12 +43,14 @@
 
     private PipelineCodec() {}
 
-    /** The stored form of a pipeline. */
+    /** Returns the stored form of a pipeline. */
     static ObjectNode encode(Pipeline pipeline) {
         int unlisted = pipeline.unlistedAttempts();
-        boolean withoutTasks = pipeline.hasUnsatisfiedDependencies() || unlisted > 0;
+        boolean withoutTaskState = pipeline.hasUnsatisfiedDependencies() || unlisted > 0;
         ObjectNode value = Json.object()
-                .put(VERSION, withoutTasks ? Constants.Job.PIPELINE_VERSION_DEPENDENT : Constants.Job.PIPELINE_VERSION);
+                .put(
+                        VERSION,
+                        withoutTaskState ? Constants.Job.PIPELINE_VERSION_DEPENDENT : Constants.Job.PIPELINE_VERSION);
         value.set(SUBMISSION, pipeline.encodedSubmission());
         value.put(ELIGIBLE_AT, pipeline.eligibleAt());
         if (pipeline.cancelled()) {
@@ -55,13 +59,13 @@
         if (unlisted > 0) {
             value.put(UNLISTED_ATTEMPTS, unlisted);
         }
-        if (!withoutTasks) {
-            encodeTasks(pipeline, value);
+        if (!withoutTaskState) {
+            encodeTaskState(pipeline, value);
         }
         return value;
     }
 
-    private static void encodeTasks(Pipeline pipeline, ObjectNode value) {
+    private static void encodeTaskState(Pipeline pipeline, ObjectNode value) {
         if (pipeline.submittedAt() != pipeline.eligibleAt()) {
             value.put(SUBMITTED_AT, pipeline.submittedAt());
         }
@@ -97,26 +101,26 @@
     }
 
     /**
-     * Reads a stored value of any version that was ever written.
+     * Decodes a stored value of any version that was ever written.
      *
      * @throws IllegalArgumentException if the value is damaged or of an unknown version
      */
     static Pipeline decode(JsonNode value) {
         int version = value.path(VERSION).asInt();
         return switch (version) {
-            case Constants.Job.PIPELINE_VERSION_DEPENDENT -> decodeWithoutTasks(value);
-            case Constants.Job.PIPELINE_VERSION, Constants.Job.PIPELINE_VERSION_LEGACY -> decodeWithTasks(
+            case Constants.Job.PIPELINE_VERSION_DEPENDENT -> decodeWithoutTaskState(value);
+            case Constants.Job.PIPELINE_VERSION, Constants.Job.PIPELINE_VERSION_LEGACY -> decodeWithTaskState(
                     value, version);
             default -> throw new IllegalArgumentException("pipeline value of unknown version " + value.path(VERSION));
         };
     }
 
-    /** True when a stored value is that of a cancelled job, without reading the rest of it. */
+    /** True if a stored value is that of a cancelled job; the rest of the value is not decoded. */
     static boolean isCancelled(JsonNode value) {
         return value.path(CANCELLED).asBoolean();
     }
 
-    private static Pipeline decodeWithTasks(JsonNode value, int version) {
+    private static Pipeline decodeWithTaskState(JsonNode value, int version) {
         long eligibleAt = value.path(ELIGIBLE_AT).asLong();
         Pipeline pipeline = new Pipeline(
                 EncodedSubmission.decode(value.path(SUBMISSION)),
@@ -133,10 +137,10 @@
     }
 
     /**
-     * A job that waits for dependencies, whose submission is all that is stored since its state is derived from other
-     * jobs; or a cancelled one whose attempts are not listed.
+     * Decodes a job whose value has no task state: either a job that waits for dependencies, of which only the
+     * submission is stored because its state is derived from other jobs, or a cancelled job with unlisted attempts.
      */
-    private static Pipeline decodeWithoutTasks(JsonNode value) {
+    private static Pipeline decodeWithoutTaskState(JsonNode value) {
         Pipeline pipeline = Pipeline.accept(
                 EncodedSubmission.decode(value.path(SUBMISSION)),
                 value.path(ELIGIBLE_AT).asLong());
@@ -145,7 +149,8 @@
             pipeline.cancel();
         }
         if (!pipeline.hasUnsatisfiedDependencies() && pipeline.unlistedAttempts() <= 0) {
-            throw new IllegalArgumentException("stored pipeline neither waits nor has unlisted attempts");
+            throw new IllegalArgumentException(
+                    "stored pipeline without task state has neither dependencies nor unlisted attempts");
         }
         return pipeline;
     }
@@ -174,16 +179,19 @@
                 value.path(FAILURES).asInt(), value.path(NOT_BEFORE).asLong(), avoided);
     }
 
-    /** The legacy form: a group is an array of machine, incarnation, number and tasks, such as {@code "0-2,7"}. */
+    /**
+     * Decodes attempts in the legacy form: each group is an array of a machine, its incarnation, an attempt number and
+     * a list of tasks such as {@code "0-2,7"}.
+     */
     private static void decodeLegacyAttempts(JsonNode groups, TaskAttempts attempts) {
         for (JsonNode group : groups) {
             String machine = group.path(0).asText();
             long incarnation = group.path(1).asLong();
             long number = group.path(2).asLong();
-            for (String run : group.path(3).asText().split(",")) {
-                int dash = run.indexOf('-');
-                int first = Integer.parseInt(dash < 0 ? run : run.substring(0, dash));
-                int last = dash < 0 ? first : Integer.parseInt(run.substring(dash + 1));
+            for (String range : group.path(3).asText().split(",")) {
+                int dash = range.indexOf('-');
+                int first = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
+                int last = dash < 0 ? first : Integer.parseInt(range.substring(dash + 1));
                 for (int task = first; task <= last; task++) {
                     attempts.add(new Attempt(task, number, machine, incarnation));
                 }
--- a/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
@@ -19,10 +19,11 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Steps single jobs by what is proven about their attempts, and decides which attempts are to be stopped: those of broken
- * gangs, those on machines that are about to be interrupted or returned, and those that are preempted.
+ * Updates single jobs by what is proven about their attempts, and determines which attempts are to be stopped:
+ * members of gangs that have lost a member, attempts on machines that are about to be interrupted or returned, and
+ * preempted attempts.
  *
- * <p>All methods are called on the event loop, between {@link #begin} and {@link #end}.
+ * <p>All methods are called on the event loop, between {@link #beginTerm} and {@link #endTerm}.
  */
 public final class AttemptReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptReconciler.class);
@@ -37,13 +38,16 @@
     private final GangReconciler gangs;
 
     private TerminationProof terminationProof;
-    /** When this leader first saw a cancelled job with unlisted attempts. */
-    private final Map<String, Long> unlistedSince = new HashMap<>();
+    /**
+     * When this leader first observed the cancelled value of a job with unlisted attempts, in ms of the loop's clock,
+     * by job id.
+     */
+    private final Map<String, Long> unlistedObservedAt = new HashMap<>();
 
     /**
-     * Creates a reconciler for one node, which may lead any number of terms.
+     * Creates a reconciler for one node. The node may become leader any number of times.
      *
-     * @param orders is notified of machines with attempts that are to be stopped
+     * @param orders is notified of the machines whose attempts are to be stopped
      */
     public AttemptReconciler(
             EventLoop loop,
@@ -61,92 +65,100 @@
         this.gangs = new GangReconciler(loop, machines, new TaskPhases(machines), stops, orders);
     }
 
-    /** Begins a term, with the rules by which termination is proven in it. */
-    public void begin(TerminationProof proof) {
-        end();
+    /**
+     * Starts a leadership term and discards the state of the previous one. The proof is used for all attempts of the
+     * term.
+     */
+    public void beginTerm(TerminationProof proof) {
+        endTerm();
         terminationProof = proof;
     }
 
-    /** Ends the term: forgets which attempts were to be stopped. */
-    public void end() {
+    /** Ends the leadership term and discards all stop requests. */
+    public void endTerm() {
         stops.clear();
-        unlistedSince.clear();
+        unlistedObservedAt.clear();
     }
 
-    /** Forgets a job that has reached a terminal state. */
+    /** Discards the state of a job that has reached a terminal state. */
     public void forget(String jobId) {
-        stops.withdraw(jobId);
-        unlistedSince.remove(jobId);
+        stops.removeJob(jobId);
+        unlistedObservedAt.remove(jobId);
     }
 
-    /** True when some attempt of the job is to be stopped. */
-    public boolean stopping(String jobId) {
+    /** True when a stop is requested for at least one attempt of the job. */
+    public boolean hasStopRequests(String jobId) {
         return stops.containsJob(jobId);
     }
 
-    /** The grace in seconds with which an attempt is to be stopped; empty for one that is to continue. */
+    /** The grace period in seconds of the attempt's stop request; empty when no stop is requested. */
     public OptionalDouble graceOf(AttemptId attemptId) {
         return stops.graceOf(attemptId);
     }
 
-    /** Requests that an attempt is stopped with this grace in seconds. */
-    public void stop(AttemptId attemptId, double graceS) {
+    /** Requests the stop of an attempt with this grace period in seconds; replaces an earlier request. */
+    public void requestStop(AttemptId attemptId, double graceS) {
         stops.request(attemptId, graceS);
     }
 
     /**
-     * Steps a job by what is proven about some of its attempts. Exception boundary: a job that can't be reconciled must
-     * not stop the cycles for all others, so it is logged and left as it is.
+     * Computes a job's next value from what is proven about the given attempts. Exception boundary: if a job can't be
+     * reconciled, the error is logged and the job stays unchanged, so that the scheduling cycle continues for all
+     * other jobs.
      *
-     * @param earlier what earlier cycles have decided about the job and its team
-     * @return the job's next value; empty when nothing changes
+     * @param attempts the attempts to assess; those that are not committed are ignored
+     * @param earlierDecisions what earlier cycles have decided about the job and its team
+     * @return the job's next value; empty when nothing changes or reconciliation fails
      */
-    public Optional<Pipeline> tryReconcile(Pipeline committed, Collection<Attempt> due, EarlierDecisions earlier) {
+    public Optional<Pipeline> tryReconcile(
+            Pipeline committed, Collection<Attempt> attempts, EarlierDecisions earlierDecisions) {
         try {
-            return reconcile(committed, due, earlier);
+            return reconcile(committed, attempts, earlierDecisions);
         } catch (RuntimeException e) {
             LOG.error("Reconciliation failed: job={}", committed.jobId(), e);
             return Optional.empty();
         }
     }
 
-    private Optional<Pipeline> reconcile(Pipeline committed, Collection<Attempt> due, EarlierDecisions earlier) {
-        stops.withdraw(committed.jobId());
+    private Optional<Pipeline> reconcile(
+            Pipeline committed, Collection<Attempt> attempts, EarlierDecisions earlierDecisions) {
+        stops.removeJob(committed.jobId());
         reservations.requestStops(committed.jobId(), stops);
         DraftPipeline draft = new DraftPipeline(committed);
-        reconcileAttempts(draft, due, earlier);
+        reconcileAttempts(draft, attempts, earlierDecisions);
         Pipeline current = draft.current();
         if (current.spec().gang() && !current.succeeded() && !current.attempts().isEmpty()) {
             gangs.reconcile(draft, terminationProof);
         }
-        if (draft.result().isEmpty() && unlistedAttemptsTerminated(committed)) {
-            draft.forChange().clearUnlistedAttempts();
+        if (draft.changedValue().isEmpty() && unlistedAttemptsTerminated(committed)) {
+            draft.mutableCopy().clearUnlistedAttempts();
         }
-        return draft.result();
+        return draft.changedValue();
     }
 
-    private void reconcileAttempts(DraftPipeline draft, Collection<Attempt> due, EarlierDecisions earlier) {
+    private void reconcileAttempts(
+            DraftPipeline draft, Collection<Attempt> attempts, EarlierDecisions earlierDecisions) {
         LostAttemptsLog lost = new LostAttemptsLog(draft.committed().jobId(), loop.now());
-        for (Attempt attempt : due) {
+        for (Attempt attempt : attempts) {
             if (draft.committed().hasAttempt(attempt)) {
-                reconcileAttempt(draft, attempt, earlier, lost);
+                reconcileAttempt(draft, attempt, earlierDecisions, lost);
             }
         }
-        lost.write();
+        lost.logSummaries();
     }
 
     private void reconcileAttempt(
-            DraftPipeline draft, Attempt attempt, EarlierDecisions earlier, LostAttemptsLog lost) {
+            DraftPipeline draft, Attempt attempt, EarlierDecisions earlierDecisions, LostAttemptsLog lost) {
         Pipeline committed = draft.committed();
         String jobId = committed.jobId();
         Machine machine = machines.get(attempt.machine());
         TerminationProof.Assessment assessment = terminationProof.assess(jobId, attempt, machine, loop.now());
-        if (earlier.isReleased(attempt) && assessment.state() != TerminationProof.AttemptState.EXITED) {
-            draft.forChange().loseAttempt(attempt);
+        if (earlierDecisions.isReleased(attempt) && assessment.state() != TerminationProof.AttemptState.EXITED) {
+            draft.mutableCopy().retireAttempt(attempt);
             return;
         }
-        boolean toStop = committed.cancelled()
-                || stopForEviction(committed, attempt, machine)
+        boolean stopRequested = committed.cancelled()
+                || requestStopForEviction(committed, attempt, machine)
                 || stops.contains(AttemptId.of(jobId, attempt));
         switch (assessment.state()) {
             case ALIVE -> {
@@ -154,14 +166,14 @@
                     orders.ordersChanged(attempt.machine());
                 }
             }
-            case EXITED -> exits.apply(draft.forChange(), attempt, machine, assessment.status());
+            case EXITED -> exits.apply(draft.mutableCopy(), attempt, machine, assessment.status());
             case TERMINATED -> {
-                draft.forChange().loseAttempt(attempt);
+                draft.mutableCopy().retireAttempt(attempt);
                 lost.add(attempt, assessment.proof(), machine);
             }
             case ABSENT -> {
-                if (toStop || earlier.teamExceedsQuota()) {
-                    draft.forChange().loseAttempt(attempt);
+                if (stopRequested || earlierDecisions.teamExceedsQuota()) {
+                    draft.mutableCopy().retireAttempt(attempt);
                 }
             }
             case UNKNOWN -> {}
@@ -169,8 +181,9 @@
     }
 
     /**
-     * True for a cancelled job without listed attempts, once no unlisted one can be left: cancel_s after its value was
-     * stored, and so after it was first read here.
+     * True for a cancelled job without listed attempts once no unlisted attempt can still be on a machine. That is so
+     * cancel_s after the cancelled value was stored. The time is counted from when this leader first observed the
+     * value, which can't be before it was stored, and includes a margin for clock drift.
      */
     private boolean unlistedAttemptsTerminated(Pipeline job) {
         if (!job.cancelled() || !job.attempts().isEmpty()) {
@@ -179,15 +192,18 @@
         if (job.unlistedAttempts() == 0) {
             return true;
         }
-        long since = unlistedSince.computeIfAbsent(job.jobId(), unseen -> loop.now());
-        return loop.now() - since > settings.workers().cancelMs() * (1 + Constants.Time.DRIFT);
+        long observedAt = unlistedObservedAt.computeIfAbsent(job.jobId(), key -> loop.now());
+        return loop.now() - observedAt > settings.workers().cancelMs() * (1 + Constants.Time.DRIFT);
     }
 
     /**
-     * Requests the stop of a task on a machine that the cloud is about to interrupt, or that is being evacuated. Only one
-     * that can save a checkpoint, or has not started, gains by it.
+     * Requests the stop of an attempt if the cloud is about to interrupt its machine or the machine is being
+     * evacuated. An attempt that has started and can't save a checkpoint is left running, since an early stop would
+     * only lose its progress.
+     *
+     * @return true when the stop was requested
      */
-    private boolean stopForEviction(Pipeline job, Attempt attempt, Machine machine) {
+    private boolean requestStopForEviction(Pipeline job, Attempt attempt, Machine machine) {
         if (machine == null || !machine.hasInterruptionNotice() && !machine.evacuating()) {
             return false;
         }
@@ -198,7 +214,7 @@
             return false;
         }
         orders.ordersChanged(attempt.machine());
-        stop(attemptId, job.spec().stopGraceS());
+        requestStop(attemptId, job.spec().stopGraceS());
         return true;
     }
 }
--- a/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
+++ b/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
@@ -12,7 +12,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** Applies the reported exit of a task to its job and to what is known of its machine. */
+/** Applies the reported exit of an attempt to its job and to the failure and completion records of its machine. */
 final class TaskExitHandler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskExitHandler.class);
 
@@ -26,28 +26,31 @@
         this.reservations = reservations;
     }
 
-    /** Applies the exit of an attempt on a machine to the job, whose value is changed. */
+    /**
+     * Applies the exit status of an attempt to the job, which is modified in place, and to the machine that reported
+     * it.
+     */
     void apply(Pipeline job, Attempt attempt, Machine machine, TaskStatus status) {
         switch (status.exitReason()) {
-            case COMPLETED -> completed(job, attempt, machine);
-            case FAILED -> failed(job, attempt, machine);
-            case INSUFFICIENT_CAPACITY, ALREADY_RUNNING, UNKNOWN -> launchRejected(job, attempt, status, machine);
-            case STOPPED, GANG_MEMBER_LOST -> ended(job, attempt, status, machine);
+            case COMPLETED -> applyCompletion(job, attempt, machine);
+            case FAILED -> applyFailure(job, attempt, machine);
+            case INSUFFICIENT_CAPACITY, ALREADY_RUNNING, UNKNOWN -> applyLaunchRejection(job, attempt, status, machine);
+            case STOPPED, GANG_MEMBER_LOST -> applyEnd(job, attempt, status, machine);
             case GANG_WAIT_TIMEOUT -> {
-                keepMachine(job.spec(), machine);
-                ended(job, attempt, status, machine);
+                reserveMachine(job.spec(), machine);
+                applyEnd(job, attempt, status, machine);
             }
         }
     }
 
-    private void completed(Pipeline job, Attempt attempt, Machine machine) {
+    private void applyCompletion(Pipeline job, Attempt attempt, Machine machine) {
         machine.recordTaskCompletion();
         if (job.spec().shape() == Submission.Shape.SERVICE) {
-            // A service never completes: its task is started again until the user cancels.
-            job.loseAttempt(attempt);
+            // A service never completes: its tasks are placed again until the user cancels the job.
+            job.retireAttempt(attempt);
             backOff(job);
         } else if (job.cancelled()) {
-            job.loseAttempt(attempt);
+            job.retireAttempt(attempt);
         } else {
             if (job.spec().gang()) {
                 completeGang(job);
@@ -56,16 +59,22 @@
         }
     }
 
-    /** By the protocol a gang completes together: if one task is done, every one is. */
+    /**
+     * Completes all tasks of the gang: by the worker protocol a gang completes as a whole, so one completed task
+     * implies the others.
+     */
     private static void completeGang(Pipeline job) {
         for (int task = 0; task < job.spec().tasks(); task++) {
             job.completeTask(task);
         }
     }
 
-    /** A job that fails everywhere says little about a machine; several jobs that fail on one machine do. */
-    private void failed(Pipeline job, Attempt attempt, Machine machine) {
-        job.loseAttempt(attempt);
+    /**
+     * Records the failure with the job and with the machine. A machine is drained after failures of several different
+     * jobs, because a single job that fails on every machine indicates no fault of the machine.
+     */
+    private void applyFailure(Pipeline job, Attempt attempt, Machine machine) {
+        job.retireAttempt(attempt);
         LOG.info(
                 "Task failed: job={} task={} attempt={} machine={}",
                 job.jobId(),
@@ -80,8 +89,8 @@
         }
     }
 
-    private void launchRejected(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
-        job.loseAttempt(attempt);
+    private void applyLaunchRejection(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
+        job.retireAttempt(attempt);
         LOG.info(
                 "Launch rejected: job={} task={} attempt={} machine={} reason={}",
                 job.jobId(),
@@ -92,8 +101,8 @@
         backOff(job);
     }
 
-    private static void ended(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
-        job.loseAttempt(attempt);
+    private static void applyEnd(Pipeline job, Attempt attempt, TaskStatus status, Machine machine) {
+        job.retireAttempt(attempt);
         LOG.debug(
                 "Attempt ended: job={} task={} attempt={} machine={} reason={} checkpointed={}",
                 job.jobId(),
@@ -109,12 +118,14 @@
     }
 
     /**
-     * Keeps the machine of a gang member that gave up waiting for members which still fetch a large image. It has the
-     * image; with other work placed there meanwhile, the gang would fetch elsewhere and time out again, by turns.
+     * Reserves the machine of a gang member whose wait timed out while other members were still fetching a large
+     * image. This machine already has the image. If other tasks were placed on it, the gang would have to fetch the
+     * image on another machine and time out again, repeatedly. The reservation lasts at least as long as an image
+     * fetch.
      */
-    private void keepMachine(Submission spec, Machine machine) {
+    private void reserveMachine(Submission spec, Machine machine) {
         MachineType type = catalog.types().get(machine.type());
         long fetchMs = type == null ? 0 : (long) (spec.imageGb() / type.fetchGbPerS() * 1000);
-        reservations.keep(spec.jobId(), machine.name(), Math.max(Constants.Placement.RESERVATION_MS, fetchMs));
+        reservations.reserve(spec.jobId(), machine.name(), Math.max(Constants.Placement.RESERVATION_MS, fetchMs));
     }
 }
--- a/src/main/java/org/spoolline/worker/HeartbeatResponder.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -12,8 +12,8 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * Answers accepted heartbeats: renews the worker's lease if the staleness bound still allows it at the moment of the
- * answer, and sends the orders that the leader may give at that moment. Used on the event loop only.
+ * Responds to accepted heartbeats. At the time of the response, it renews the worker's lease if the staleness bound
+ * allows it, and adds the orders that the leader may give. Used on the event loop only.
  */
 final class HeartbeatResponder {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
@@ -41,24 +41,27 @@
         this.counters = counters;
     }
 
-    /** Sends orders from now on: the live jobs have been read under the present fencing token. */
+    /** Includes orders in later responses; called once the live jobs have been read under the current fencing token. */
     void enableOrders() {
         ordersEnabled = true;
     }
 
-    /** Renews leases without orders from now on. */
+    /** Excludes orders from later responses; leases are still renewed. */
     void disableOrders() {
         ordersEnabled = false;
     }
 
-    /** Answers with the orders that the machine needs now. */
+    /** Sends the response with the orders that the machine currently needs, or rejects the heartbeat. */
     void respondWithOrders(PendingResponse pending) {
         if (mayRenewOrReject(pending)) {
-            renew(pending, orders(pending));
+            renew(pending, ordersFor(pending));
         }
     }
 
-    /** Answers a heartbeat that a later one has replaced: its orders travel in the later one's response. */
+    /**
+     * Sends the response to a heartbeat that a later heartbeat of the machine has superseded, or rejects it. The
+     * orders are sent in the response to the later heartbeat.
+     */
     void respondWithoutOrders(PendingResponse pending) {
         if (mayRenewOrReject(pending)) {
             renew(pending, List.of());
@@ -79,16 +82,16 @@
 
     private void renew(PendingResponse pending, List<Order> orders) {
         Machine machine = pending.machine();
-        long token = election.workerFencingToken() + machine.earlyHeartbeatRequests();
+        long token = election.workerFencingToken() + machine.tokenIncrements();
         for (int i = 0; i < orders.size(); i++) {
-            record(machine, orders.get(i));
+            recordOrder(machine, orders.get(i));
         }
         machine.recordResponse(token, loop.now());
         counters.count(Event.HEARTBEAT_RENEWED);
         pending.send(HeartbeatResponseCodec.renewal(token, orders));
     }
 
-    private List<Order> orders(PendingResponse pending) {
+    private List<Order> ordersFor(PendingResponse pending) {
         if (!ordersEnabled || !pending.answersLastHeartbeat()) {
             return List.of();
         }
@@ -99,11 +102,11 @@
         return staleness.mayStopCancelled() ? planner.stopsOfCancelledJobs(pending.machine()) : List.of();
     }
 
-    private void record(Machine machine, Order order) {
+    private void recordOrder(Machine machine, Order order) {
         AttemptId attemptId = order.attemptId();
         if (order instanceof Order.Launch) {
             machine.recordLaunch(attemptId);
-            launchLog.ordered(attemptId, machine.name());
+            launchLog.recordLaunch(attemptId, machine.name());
         } else if (order instanceof Order.Stop stop) {
             counters.count(Event.STOP_ORDERED);
             LOG.debug(
