--- a/src/main/java/org/spoolline/autoscaler/MachineListing.java
+++ b/src/main/java/org/spoolline/autoscaler/MachineListing.java
@@ -28,10 +28,10 @@
     private long requestedAt;
 
     /**
-     * Creates a listing that reads nothing by itself.
+     * Creates a listing that sends no request before {@link #refreshIfDue}.
      *
-     * @param onFailedMachine receives each machine that the list shows as failed, once it is marked as terminated
-     * @param onChange        runs after each complete list
+     * @param onFailedMachine receives each machine that is listed as failed, after it has been marked as terminated
+     * @param onChange        runs after each complete read of the list
      */
     MachineListing(
             EventLoop loop,
@@ -50,70 +50,70 @@
         this.onChange = onChange;
     }
 
-    /** Starts a term in which nothing has been listed. */
+    /** Starts a term; the list counts as unread and is due at once. */
     void beginTerm() {
         complete = false;
         requestedAt = Long.MIN_VALUE / 2;
     }
 
-    /** True once the whole list has been read in this term. */
+    /** Returns true if the whole list has been read at least once in this term. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Starts to read the list when it is due and the rate limit allows it. */
+    /** Starts to read the list if a read is due and the rate limit allows it. */
     void refreshIfDue(long now) {
-        // Within half its lag the list seldom shows anything new.
+        // The list lags behind the actual machines; at shorter intervals than half the lag it rarely contains changes.
         long intervalMs = Math.max(
                 Constants.Autoscaling.MACHINE_LIST_INTERVAL_MS, settings.cloud().listLagMs() / 2);
         if (now - requestedAt >= intervalMs && cloud.tryAcquire(now)) {
             requestedAt = now;
-            new Reading(now).requestPage("");
+            new FullRead(now).requestPage("");
         }
     }
 
-    /** One reading of the whole list. */
-    private final class Reading {
+    /** One read of the whole list, page by page. */
+    private final class FullRead {
         private final long startedAt;
-        private final Set<String> listed = new HashSet<>();
+        private final Set<String> listedNames = new HashSet<>();
 
-        Reading(long startedAt) {
+        FullRead(long startedAt) {
             this.startedAt = startedAt;
         }
 
         void requestPage(String after) {
-            cloud.get(CloudCodec.listPath(after, Constants.Store.LIST_PAGE), reply -> receivePage(after, reply));
+            cloud.get(CloudCodec.listPath(after, Constants.Store.LIST_PAGE), reply -> handlePage(after, reply));
         }
 
-        private void receivePage(String after, Http.Reply reply) {
+        private void handlePage(String after, Http.Reply reply) {
             if (!reply.ok() || !election.hasValidLease()) {
                 return;
             }
             CloudCodec.ListPage page = CloudCodec.parseList(reply.body());
-            String last = after;
+            String lastName = after;
             for (CloudCodec.ListedMachine machine : page.machines()) {
-                last = machine.name();
-                listed.add(last);
+                lastName = machine.name();
+                listedNames.add(lastName);
                 observe(machine);
             }
             if (page.hasNext()) {
                 cloud.acquireWithDebt();
-                requestPage(last);
+                requestPage(lastName);
                 return;
             }
             complete = true;
-            terminateUnlisted(listed, startedAt);
+            terminateUnlisted(listedNames, startedAt);
             onChange.run();
         }
     }
 
     private void observe(CloudCodec.ListedMachine listed) {
         long now = loop.now();
-        boolean unknown = machines.get(listed.name()) == null;
+        boolean isNew = machines.get(listed.name()) == null;
         Machine machine = machines.getOrRegister(
                 listed.name(), listed.type(), listed.zone(), listed.spot(), now - listed.heldMs());
         machine.markListed(now);
-        if (unknown) {
+        if (isNew) {
             LOG.info(
                     "Machine found in cloud list: machine={} type={} zone={} status={}",
                     listed.name(),
@@ -129,15 +129,16 @@
     }
 
     /**
-     * Marks machines as terminated that were listed before and no longer are. A list may be as old as twice the lag, so
-     * one that was requested sooner than that after a machine's last listing proves nothing.
+     * Marks machines as terminated that were listed before and no longer are. A list may be out of date by up to twice
+     * the lag. A machine therefore counts as terminated only if the list was requested later than that, plus a margin,
+     * after the machine was last listed.
      */
-    private void terminateUnlisted(Set<String> listed, long listRequestedAt) {
+    private void terminateUnlisted(Set<String> listedNames, long listRequestedAt) {
         long maxAgeMs = 2 * settings.cloud().listLagMs() + Constants.Time.MARGIN_MS;
         for (Machine machine : machines.all()) {
             if (!machine.terminated()
                     && machine.lastListedAt() >= 0
-                    && !listed.contains(machine.name())
+                    && !listedNames.contains(machine.name())
                     && listRequestedAt - machine.lastListedAt() > maxAgeMs) {
                 LOG.info("Machine terminated: machine={} reason=not_listed", machine.name());
                 machine.markTerminated();
--- a/src/main/java/org/spoolline/autoscaler/ScaleIn.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleIn.java
@@ -25,7 +25,9 @@
     private final MachineTypeCatalog catalog;
     private final MachineRegistry machines;
     private final Runnable onChange;
-    /** Names of the machines whose release has been requested. */
+    /**
+     * Names of the machines whose release has been requested; removed after a failed request, so that it is retried.
+     */
     private final Set<String> releasing = new HashSet<>();
 
     private long electedAt;
@@ -43,17 +45,19 @@
         this.onChange = onChange;
     }
 
-    /** Starts a term in which no release has been requested. */
+    /** Starts a term; releases requested in earlier terms are forgotten. */
     void beginTerm(long now) {
         electedAt = now;
         releasing.clear();
     }
 
-    /** Drains the machines to be released and requests their release, as far as the rate limit allows. */
+    /**
+     * Drains the machines that the release policy selects and requests their release as far as the rate limit allows.
+     */
     void release(double recentDemandCores, Predicate<String> holdsWork, long now) {
         ReleasePolicy policy = new ReleasePolicy(
                 settings, catalog.types(), new ReleasePolicy.Input(electedAt, recentDemandCores, holdsWork, now));
-        List<Machine> released = new ArrayList<>();
+        List<Machine> toRelease = new ArrayList<>();
         for (Machine machine : machines.all()) {
             if (machine.terminated() || releasing.contains(machine.name())) {
                 continue;
@@ -61,17 +65,20 @@
             Optional<ReleaseReason> reason = policy.reasonToRelease(machine);
             if (reason.isPresent()) {
                 drain(machine, reason.get());
-                released.add(machine);
+                toRelease.add(machine);
             }
         }
-        for (List<Machine> batch : Iterables.partition(released, Constants.Autoscaling.SCALE_IN_BATCH_MAX)) {
+        for (List<Machine> batch : Iterables.partition(toRelease, Constants.Autoscaling.SCALE_IN_BATCH_MAX)) {
             if (cloud.tryAcquire(now)) {
                 requestRelease(batch);
             }
         }
     }
 
-    /** Releases a machine that the cloud lists as failed. It is terminated already, so it may exceed the rate limit. */
+    /**
+     * Releases a machine that the cloud lists as failed. The request ignores the rate limit: the machine is already
+     * marked as terminated, so later passes would skip it.
+     */
     void releaseFailed(Machine machine) {
         machine.drain();
         requestRelease(List.of(machine));
@@ -86,15 +93,15 @@
 
     private void requestRelease(List<Machine> batch) {
         batch.forEach(machine -> releasing.add(machine.name()));
-        cloud.post(CloudCodec.RELEASE_PATH, CloudCodec.releaseRequest(batch), reply -> receive(reply, batch));
+        cloud.post(CloudCodec.RELEASE_PATH, CloudCodec.releaseRequest(batch), reply -> handleReply(reply, batch));
     }
 
-    private void receive(Http.Reply reply, List<Machine> batch) {
+    private void handleReply(Http.Reply reply, List<Machine> batch) {
         if (reply.ok()) {
             batch.forEach(Machine::markTerminated);
         } else {
-            // Requests in every cycle would not shorten an outage of the cloud.
-            cloud.afterRetryPause(() -> batch.forEach(machine -> releasing.remove(machine.name())));
+            // A delay before the retry, since requests in every cycle would not end an outage of the cloud sooner.
+            cloud.afterRetryDelay(() -> batch.forEach(machine -> releasing.remove(machine.name())));
         }
         onChange.run();
     }
--- a/src/main/java/org/spoolline/autoscaler/ScaleOut.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOut.java
@@ -15,7 +15,7 @@
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 
-/** Acquires machines for tasks without capacity: one idempotent request for each offer at a time. */
+/** Acquires machines for tasks that lack capacity, with at most one idempotent request in flight per offer. */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
     private static final int BAD_REQUEST = 400;
@@ -27,9 +27,11 @@
     private final MachineTypeCatalog catalog;
     private final MachineRegistry machines;
     private final Runnable onChange;
-    /** Number of machines requested, for offers whose request has no definite reply yet. */
-    private final Map<ScaleOutPlanner.Offer, Integer> requested = new HashMap<>();
-    /** Time in ms until which an offer without capacity is not requested again. */
+    /** Number of machines requested, by offer, while the request has no definite reply. */
+    private final Map<ScaleOutPlanner.Offer, Integer> pendingCounts = new HashMap<>();
+    /**
+     * Time in ms before which an offer is not requested again, after the cloud rejected it or acquired fewer machines.
+     */
     private final Map<ScaleOutPlanner.Offer, Long> backoffUntil = new HashMap<>();
 
     private long lastRequestNumber;
@@ -49,21 +51,21 @@
         this.onChange = onChange;
     }
 
-    /** Starts a term in which nothing has been requested. */
+    /** Starts a term; pending requests and backoffs of earlier terms are discarded. */
     void beginTerm() {
         lastRequestNumber = 0;
-        requested.clear();
+        pendingCounts.clear();
         backoffUntil.clear();
     }
 
-    /** Requests the machines that the demands need beyond those that are starting, as far as the rate limit allows. */
+    /** Requests the machines that the demands need in addition to those starting, as far as the rate limit allows. */
     void acquire(List<ResourceDemand> demands, long now) {
         Map<ScaleOutPlanner.Offer, Integer> plan =
                 ScaleOutPlanner.plan(demands, startingMachines(), catalog.types(), offer -> isAvailable(offer, now));
         plan.forEach((offer, count) -> {
             if (cloud.tryAcquire(now)) {
                 int batch = Math.min(count, Constants.Autoscaling.SCALE_OUT_BATCH_MAX);
-                requested.put(offer, batch);
+                pendingCounts.put(offer, batch);
                 lastRequestNumber++;
                 request(offer, batch, "r-" + cloud.term() + "-" + lastRequestNumber);
             }
@@ -71,10 +73,10 @@
     }
 
     private boolean isAvailable(ScaleOutPlanner.Offer offer, long now) {
-        return !requested.containsKey(offer) && backoffUntil.getOrDefault(offer, Long.MIN_VALUE) <= now;
+        return !pendingCounts.containsKey(offer) && backoffUntil.getOrDefault(offer, Long.MIN_VALUE) <= now;
     }
 
-    /** The offers of machines that are expected to start, one entry for each machine. */
+    /** Returns the offers of the machines that are booting or requested, with one entry per machine. */
     private List<ScaleOutPlanner.Offer> startingMachines() {
         List<ScaleOutPlanner.Offer> starting = new ArrayList<>();
         for (Machine machine : machines.all()) {
@@ -82,7 +84,7 @@
                 starting.add(new ScaleOutPlanner.Offer(machine.type(), machine.zone(), machine.spot()));
             }
         }
-        requested.forEach((offer, count) -> {
+        pendingCounts.forEach((offer, count) -> {
             for (int i = 0; i < count; i++) {
                 starting.add(offer);
             }
@@ -91,17 +93,17 @@
     }
 
     /**
-     * Sends the request. Its reply counts even when the leader's lease has lapsed for a moment: an offer that stayed
-     * among the requested ones would never be requested again in this term.
+     * Sends the request. The reply is processed even if the leadership lease has expired for a moment: otherwise the
+     * offer would stay pending and never be requested again in this term.
      */
     private void request(ScaleOutPlanner.Offer offer, int count, String requestId) {
         cloud.post(
                 CloudCodec.ACQUIRE_PATH,
                 CloudCodec.acquireRequest(requestId, offer, count),
-                reply -> receive(reply, offer, count, requestId));
+                reply -> handleReply(reply, offer, count, requestId));
     }
 
-    private void receive(Http.Reply reply, ScaleOutPlanner.Offer offer, int count, String requestId) {
+    private void handleReply(Http.Reply reply, ScaleOutPlanner.Offer offer, int count, String requestId) {
         if (reply.ok()) {
             registerAcquired(CloudCodec.parseAcquired(reply.body()), offer, count, requestId);
         } else if (reply.status() == SERVICE_UNAVAILABLE || reply.status() == BAD_REQUEST) {
@@ -112,7 +114,7 @@
                     offer.spot(),
                     requestId,
                     reply.status());
-            requested.remove(offer);
+            pendingCounts.remove(offer);
             backOff(offer, loop.now());
             onChange.run();
         } else {
@@ -125,7 +127,7 @@
         for (String name : names) {
             machines.getOrRegister(name, offer.type(), offer.zone(), offer.spot(), now);
         }
-        requested.remove(offer);
+        pendingCounts.remove(offer);
         LOG.info(
                 "Scaled out: acquired={} requested={} type={} zone={} spot={} request={}",
                 names.size(),
@@ -145,11 +147,11 @@
     }
 
     /**
-     * Repeats a request without a definite reply under the same id, the only one that is sure to acquire nothing twice.
-     * While the lease has lapsed it waits on.
+     * Retries a request that got no definite reply, with the same id: with a new id the cloud could acquire the
+     * machines twice. Waits for another retry delay while the leadership lease is expired.
      */
     private void retry(ScaleOutPlanner.Offer offer, int count, String requestId) {
-        cloud.afterRetryPause(() -> {
+        cloud.afterRetryDelay(() -> {
             if (election.hasValidLease()) {
                 cloud.acquireWithDebt();
                 request(offer, count, requestId);
--- a/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
@@ -12,24 +12,24 @@
 import org.spoolline.cluster.ResourceDemand;
 import org.spoolline.pipeline.Submission;
 
-/** Decides which machines to acquire for tasks without capacity. A plan depends on its arguments alone. */
+/** Decides which machines to acquire for tasks that lack capacity. The plan depends only on the arguments. */
 public final class ScaleOutPlanner {
-    /** Seconds of boot time that weigh as much as the price: an offer that takes as long counts twice its price. */
-    private static final double BOOT_S_PER_PRICE = 100;
+    /** Boot time in seconds at which the weight of an offer is twice its price per task. */
+    private static final double BOOT_S_DOUBLING_WEIGHT = 100;
 
     private final Map<String, MachineType> types;
     private final Predicate<Offer> available;
     private final List<Capacity> capacities = new ArrayList<>();
-    private final Map<Offer, Integer> acquired = new LinkedHashMap<>();
+    private final Map<Offer, Integer> toAcquire = new LinkedHashMap<>();
 
     private ScaleOutPlanner(Map<String, MachineType> types, Predicate<Offer> available) {
         this.types = types;
         this.available = available;
     }
 
-    /** A machine type in a zone, as an on-demand or a spot machine. */
+    /** A machine type in a zone, either on-demand or spot. */
     public record Offer(String type, String zone, boolean spot) {
-        /** Written out, see {@link org.spoolline.pipeline.Attempt#equals}. */
+        /** Written by hand for a faster start, see {@link org.spoolline.pipeline.Attempt#equals}. */
         @Override
         public boolean equals(Object other) {
             return other instanceof Offer o && spot == o.spot && type.equals(o.type) && zone.equals(o.zone);
@@ -42,12 +42,12 @@
     }
 
     /**
-     * How many machines of each offer to acquire.
+     * Returns the number of machines to acquire, by offer.
      *
-     * @param demands   tasks without capacity, most urgent first
-     * @param starting  offers of the machines that are expected to start, one entry for each machine
+     * @param demands   tasks that lack capacity, most urgent first
+     * @param starting  offers of the machines that are booting or requested, with one entry per machine
      * @param types     machine types by name
-     * @param available true for an offer that may be requested now
+     * @param available tests whether an offer may be requested now
      */
     static Map<Offer, Integer> plan(
             List<ResourceDemand> demands,
@@ -61,9 +61,9 @@
             }
         }
         for (ResourceDemand demand : demands) {
-            planner.meet(demand);
+            planner.coverDemand(demand);
         }
-        return planner.acquired;
+        return planner.toAcquire;
     }
 
     private Capacity addCapacity(Offer offer) {
@@ -72,8 +72,10 @@
         return capacity;
     }
 
-    /** Allocates capacity for the tasks, first on machines that are starting, then on further ones to be acquired. */
-    private void meet(ResourceDemand demand) {
+    /**
+     * Allocates capacity for the tasks of a demand, first on machines that are starting, then on machines to acquire.
+     */
+    private void coverDemand(ResourceDemand demand) {
         Submission job = demand.job().spec();
         int unmet = demand.tasks();
         for (Capacity capacity : capacities) {
@@ -85,11 +87,11 @@
                 return;
             }
             unmet -= allocate(addCapacity(offer.get()), job, unmet);
-            acquired.merge(offer.get(), 1, Integer::sum);
+            toAcquire.merge(offer.get(), 1, Integer::sum);
         }
     }
 
-    /** Allocates capacity for up to so many tasks; returns for how many there was some. */
+    /** Allocates capacity for up to the given number of tasks; returns the number of tasks that fit. */
     private static int allocate(Capacity capacity, Submission job, int tasks) {
         int allocated = 0;
         while (allocated < tasks && capacity.permits(job) && capacity.fits(job)) {
@@ -99,16 +101,18 @@
         return allocated;
     }
 
-    /** An offer with its weight: its price for each task, increased by its boot time. */
+    /** An offer and its weight: the price per task, increased in proportion to the boot time. */
     private record WeightedOffer(Offer offer, double weight) {}
 
-    /** The offer with the lowest weight for so many tasks; empty when none is available that the job may use. */
+    /**
+     * Returns the available offer with the lowest weight for the given number of tasks; empty if the job can use none.
+     */
     private Optional<Offer> cheapestOffer(Submission job, int tasks) {
         List<WeightedOffer> offers = new ArrayList<>();
         for (MachineType type : types.values()) {
-            int fitting = type.canRun(job) ? Math.min(tasks, type.tasksPerMachine(job)) : 0;
-            if (fitting > 0) {
-                addOffers(job, type, fitting, offers);
+            int tasksOnMachine = type.canRun(job) ? Math.min(tasks, type.tasksPerMachine(job)) : 0;
+            if (tasksOnMachine > 0) {
+                addWeightedOffers(job, type, tasksOnMachine, offers);
             }
         }
         return offers.stream()
@@ -116,21 +120,21 @@
                 .map(WeightedOffer::offer);
     }
 
-    private void addOffers(Submission job, MachineType type, int fitting, List<WeightedOffer> offers) {
+    private void addWeightedOffers(Submission job, MachineType type, int tasksOnMachine, List<WeightedOffer> offers) {
         for (String zone : type.zones()) {
             if (job.zone() != null && !job.zone().equals(zone)) {
                 continue;
             }
             if (job.allowsSpot()) {
-                addOffer(new Offer(type.name(), zone, true), type, type.spotPrice() / fitting, offers);
+                addWeightedOffer(new Offer(type.name(), zone, true), type, type.spotPrice() / tasksOnMachine, offers);
             }
-            addOffer(new Offer(type.name(), zone, false), type, type.price() / fitting, offers);
+            addWeightedOffer(new Offer(type.name(), zone, false), type, type.price() / tasksOnMachine, offers);
         }
     }
 
-    private void addOffer(Offer offer, MachineType type, double pricePerTask, List<WeightedOffer> offers) {
+    private void addWeightedOffer(Offer offer, MachineType type, double pricePerTask, List<WeightedOffer> offers) {
         if (available.test(offer)) {
-            offers.add(new WeightedOffer(offer, pricePerTask * (1 + type.bootS() / BOOT_S_PER_PRICE)));
+            offers.add(new WeightedOffer(offer, pricePerTask * (1 + type.bootS() / BOOT_S_DOUBLING_WEIGHT)));
         }
     }
 }
--- a/src/main/java/org/spoolline/net/Timeout.java
+++ b/src/main/java/org/spoolline/net/Timeout.java
@@ -6,38 +6,39 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Ends a call after a time. A loop that was busy runs the timers that are due before it reads the responses that arrived in
- * the meantime, so that it gave up renewals of leadership that had long been answered. A timer that fires late therefore
- * lets the loop read from the network first, for as long as the loop was late.
+ * Timeout of a call. After a period in which it was busy, the event loop runs the timers that are due before it reads
+ * the responses that arrived in the meantime. It would then time out calls that have already been answered, such as
+ * renewals of the leadership lease. A timer that fires late by more than a margin is therefore extended by the
+ * time it was late, up to a limit, so that the loop reads from the network first.
  */
 final class Timeout {
     private final XnioExecutor executor;
-    private final Runnable expired;
+    private final Runnable onExpired;
     private XnioExecutor.Key key;
 
     /**
      * Starts the timeout.
      *
-     * @param clockMs monotonic time in ms
-     * @param expired runs on the executor, unless the timeout is cancelled before
+     * @param clockMs returns the monotonic time in ms
+     * @param onExpired runs on the executor when the timeout expires, unless the timeout was cancelled
      */
-    Timeout(XnioExecutor executor, LongSupplier clockMs, long timeoutMs, Runnable expired) {
+    Timeout(XnioExecutor executor, LongSupplier clockMs, long timeoutMs, Runnable onExpired) {
         this.executor = executor;
-        this.expired = expired;
-        long due = clockMs.getAsLong() + timeoutMs;
-        key = executor.executeAfter(() -> fire(clockMs.getAsLong() - due), timeoutMs, TimeUnit.MILLISECONDS);
+        this.onExpired = onExpired;
+        long dueAt = clockMs.getAsLong() + timeoutMs;
+        key = executor.executeAfter(() -> fire(clockMs.getAsLong() - dueAt), timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     private void fire(long lateMs) {
         if (lateMs <= Constants.Time.MARGIN_MS) {
-            expired.run();
+            onExpired.run();
         } else {
             key = executor.executeAfter(
-                    expired, Math.min(lateMs, Constants.Network.LATE_GRACE_MS), TimeUnit.MILLISECONDS);
+                    onExpired, Math.min(lateMs, Constants.Network.LATE_GRACE_MS), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Keeps {@code expired} from running; without effect once it has run. */
+    /** Prevents {@code onExpired} from running; has no effect if it has already run. */
     void cancel() {
         key.remove();
     }
--- a/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
+++ b/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
@@ -78,7 +78,7 @@
         }
         if (!added.isEmpty()) {
             counters.count(Event.TASK_PLACED, added.size());
-            stallMonitor.progress();
+            stallMonitor.recordPlacement();
         }
         if (!added.isEmpty() && write == null) {
             state.addWrite(entry, proposed);
--- a/src/main/java/org/spoolline/scheduler/Scheduler.java
+++ b/src/main/java/org/spoolline/scheduler/Scheduler.java
@@ -95,7 +95,7 @@
         cycle.beginTerm();
         pacer.beginTerm();
         lastCycleFailed = false;
-        stallMonitor.begin();
+        stallMonitor.beginTerm();
         jobWatcher.beginTerm(token);
         tick(token);
     }
--- a/src/test/java/org/spoolline/net/FakeEventLoop.java
+++ b/src/test/java/org/spoolline/net/FakeEventLoop.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** An event loop whose time a test sets, and whose timers may all fire late. */
+/** Event loop with virtual time that a test advances, and with an optional delay of all timers. */
 public final class FakeEventLoop implements EventLoop {
     private record Timer(long at, Runnable task) {}
 
     private final List<Timer> timers = new ArrayList<>();
     private long now = 1_000;
-    private long lateMs;
+    private long timerDelayMs;
 
     @Override
     public long now() {
@@ -28,38 +28,40 @@
         timers.add(new Timer(now + delayMs, task));
     }
 
-    /** From now on each timer fires this much after it is due. */
-    public void lateBy(long ms) {
-        lateMs = ms;
+    /** Makes each timer fire {@code ms} after its due time from now on. */
+    public void delayTimersBy(long ms) {
+        timerDelayMs = ms;
     }
 
-    /** Lets time pass while the loop is busy, so that no timer fires. */
-    public void standStill(long ms) {
+    /** Advances the time without running timers, like a loop that is busy. */
+    public void advanceWithoutTimers(long ms) {
         now += ms;
     }
 
-    /** Runs the timers that are due by then. */
+    /** Runs the timers that are due by the given time, then sets the time to it. */
     public void runTo(long until) {
-        for (Optional<Timer> next = next(); next.isPresent() && next.get().at() <= until; next = next()) {
-            fire(next.get());
+        for (Optional<Timer> timer = earliestTimer();
+                timer.isPresent() && timer.get().at() <= until;
+                timer = earliestTimer()) {
+            fire(timer.get());
         }
         now = until;
     }
 
-    /** Runs timers until none is left. */
+    /** Runs timers, including those added meanwhile, until none is left. */
     public void runAll() {
-        for (Optional<Timer> next = next(); next.isPresent(); next = next()) {
-            fire(next.get());
+        for (Optional<Timer> timer = earliestTimer(); timer.isPresent(); timer = earliestTimer()) {
+            fire(timer.get());
         }
     }
 
-    private Optional<Timer> next() {
+    private Optional<Timer> earliestTimer() {
         return timers.stream().min(Comparator.comparingLong(Timer::at));
     }
 
     private void fire(Timer timer) {
         timers.remove(timer);
-        now = Math.max(now, timer.at()) + lateMs;
+        now = Math.max(now, timer.at()) + timerDelayMs;
         timer.task().run();
     }
 }
--- a/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
+++ b/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
@@ -40,7 +40,7 @@
 
     @Test
     void defersFirstCycleOfTermForBoundedTimeWhileLoopIsLate() {
-        loop.lateBy(LATE_MS);
+        loop.delayTimersBy(LATE_MS);
         pacer.beginTerm();
         pacer.request(0);
         loop.runAll();
@@ -63,7 +63,7 @@
         pacer.beginTerm();
         pacer.request(0);
         loop.runAll();
-        loop.lateBy(LATE_MS);
+        loop.delayTimersBy(LATE_MS);
         long requestedAt = loop.now();
         pacer.request(0);
         loop.runAll();
--- a/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
+++ b/src/test/java/org/spoolline/scheduler/PipelineWriterTest.java
@@ -110,7 +110,7 @@
     @BeforeEach
     void beginTermWithFullWriteBudget() {
         store.setLeader(true);
-        loop.standStill(60_000);
+        loop.advanceWithoutTimers(60_000);
         writer.beginTerm(TERM);
     }
 
@@ -188,7 +188,7 @@
         commitStatuses.add(400);
         write(launch("run-000001", "standard"), launch("run-000002", "standard"));
         assertEquals(List.of("abandoned run-000001", "abandoned run-000002", "outcome false"), outcomes);
-        loop.standStill(60_000);
+        loop.advanceWithoutTimers(60_000);
         assertTrue(write(launch("run-000001", "standard"), launch("run-000002", "standard")));
         assertEquals(List.of("job/run-000001"), changedKeys(sentBodies.get(1)));
         assertEquals(List.of("job/run-000002"), changedKeys(sentBodies.get(2)));
@@ -200,7 +200,7 @@
         write(launch("run-000001", "standard"));
         assertFalse(write(launch("run-000001", "standard")));
         assertEquals(1, sentBodies.size());
-        loop.standStill(Constants.Cycle.OVERSIZED_VALUE_BACKOFF_MS);
+        loop.advanceWithoutTimers(Constants.Cycle.OVERSIZED_VALUE_BACKOFF_MS);
         assertTrue(write(launch("run-000001", "standard")));
         assertEquals(2, sentBodies.size());
     }
