--- a/src/main/java/org/spoolline/api/StatusHandler.java
+++ b/src/main/java/org/spoolline/api/StatusHandler.java
@@ -93,7 +93,7 @@
 
     private boolean respondedLately(String jobId) {
         long respondedAt = lastRespondedAt.getOrDefault(jobId, NEVER_RESPONDED);
-        return loop.now() - respondedAt < Constants.Api.STATUS_TURN_MS;
+        return loop.now() - respondedAt < Constants.Api.STATUS_LOW_PRIORITY_MS;
     }
 
     private void respondUnchanged(StatusBatch.Request request) {
--- a/src/main/java/org/spoolline/cli/Main.java
+++ b/src/main/java/org/spoolline/cli/Main.java
@@ -76,7 +76,7 @@
 
     private int serveOrCheck() {
         if (config == null) {
-            return ProcessExit.say(ProcessExit.BAD_SETTINGS, "--config FILE is needed, see --help");
+            return ProcessExit.report(ProcessExit.BAD_SETTINGS, "--config FILE is needed, see --help");
         }
         SettingsFile.Loaded loaded;
         OperatorSettings operatorSettings;
@@ -84,7 +84,7 @@
             loaded = SettingsFile.load(config);
             operatorSettings = operator == null ? OperatorSettings.DEFAULTS : OperatorSettings.read(operator);
         } catch (SettingsException e) {
-            return ProcessExit.say(ProcessExit.BAD_SETTINGS, e.getMessage());
+            return ProcessExit.report(ProcessExit.BAD_SETTINGS, e.getMessage());
         }
         if (check) {
             return printCheck(loaded);
@@ -101,7 +101,7 @@
             System.out.println("settings of " + loaded.settings().node() + " are fine");
             return 0;
         }
-        return ProcessExit.say(
+        return ProcessExit.report(
                 ProcessExit.BAD_SETTINGS, "a node would start, with defaults for the fields named above");
     }
 }
--- a/src/main/java/org/spoolline/cli/NodeProcess.java
+++ b/src/main/java/org/spoolline/cli/NodeProcess.java
@@ -18,11 +18,11 @@
     private final Settings settings;
     private final ProcessNetwork network;
     private final Controller controller;
-    private boolean listensForUsers;
+    private boolean listeningForUsers;
 
     private NodeProcess(Settings settings, XnioWorker worker) {
         this.settings = settings;
-        network = ProcessNetwork.on(worker, settings);
+        network = ProcessNetwork.create(worker, settings);
         controller = new Controller(settings, network.loop(), network.caller(), new SplittableRandom());
     }
 
@@ -36,7 +36,7 @@
             worker.awaitTermination();
             return 0;
         } catch (IOException | InterruptedException | RuntimeException e) {
-            return ProcessExit.say(ProcessExit.CANNOT_START, "can't start: " + rootCause(e));
+            return ProcessExit.report(ProcessExit.CANNOT_START, "can't start: " + rootCause(e));
         }
     }
 
@@ -64,8 +64,8 @@
     }
 
     private void listenForUsers() {
-        if (!listensForUsers) {
-            listensForUsers = true;
+        if (!listeningForUsers) {
+            listeningForUsers = true;
             listen(settings.serveOn(), controller::serve, Constants.Network.BIND_TRIES);
         }
     }
@@ -87,7 +87,7 @@
     }
 
     private static void halt(String address, String reason) {
-        int exitCode = ProcessExit.say(ProcessExit.CANNOT_START, "can't serve on " + address + ": " + reason);
+        int exitCode = ProcessExit.report(ProcessExit.CANNOT_START, "can't serve on " + address + ": " + reason);
         Runtime.getRuntime().halt(exitCode);
     }
 
--- a/src/main/java/org/spoolline/cli/ProcessExit.java
+++ b/src/main/java/org/spoolline/cli/ProcessExit.java
@@ -10,8 +10,8 @@
     private ProcessExit() {}
 
     /** Says why the process ends, and returns the exit code. */
-    static int say(int exitCode, String why) {
-        System.err.println("spoolline: ends with exit code " + exitCode + ": " + why);
+    static int report(int exitCode, String reason) {
+        System.err.println("spoolline: ends with exit code " + exitCode + ": " + reason);
         return exitCode;
     }
 }
--- a/src/main/java/org/spoolline/cli/ProcessNetwork.java
+++ b/src/main/java/org/spoolline/cli/ProcessNetwork.java
@@ -36,11 +36,11 @@
     }
 
     /** Runs on the given worker. An error that no task recovers from halts the process, without shutdown hooks. */
-    static ProcessNetwork on(XnioWorker worker, Settings settings) {
+    static ProcessNetwork create(XnioWorker worker, Settings settings) {
         XnioIoThread thread = worker.getIoThread();
         ExceptionBoundary boundary = new ExceptionBoundary(Runtime.getRuntime()::halt);
         DefaultByteBufferPool buffers =
-                new DefaultByteBufferPool(false, Constants.Network.BUFFER_BYTES, Constants.Network.BUFFERS_KEPT, 0);
+                new DefaultByteBufferPool(false, Constants.Network.BUFFER_BYTES, Constants.Network.BUFFER_POOL_SIZE, 0);
         return new ProcessNetwork(
                 new XnioEventLoop(thread, boundary),
                 new UndertowCaller(thread, buffers, settings.idleConnections(), boundary),
--- a/src/main/java/org/spoolline/cli/SettingsLog.java
+++ b/src/main/java/org/spoolline/cli/SettingsLog.java
@@ -45,7 +45,7 @@
         if (settings.storeLimits().announced() != null) {
             logLimits("announced", settings.storeLimits().announced());
         }
-        settings.shortages().forEach(shortage -> LOG.error("Process limit too low to serve in full: {}", shortage));
+        settings.insufficientLimits().forEach(limit -> LOG.error("Process limit too low to serve in full: {}", limit));
     }
 
     private static void logLimits(String validity, Settings.StoreLimits limits) {
--- a/src/main/java/org/spoolline/cli/TrainingWire.java
+++ b/src/main/java/org/spoolline/cli/TrainingMessages.java
@@ -6,7 +6,7 @@
 import org.spoolline.net.Json;
 
 /** Examples of the messages that a node exchanges with users, workers, the key-value store and the cloud. */
-final class TrainingWire {
+final class TrainingMessages {
     static final String JOB_ID = "run-000001";
     static final String UNKNOWN_JOB_ID = "run-000002";
     /** Path on which the key-value store answers a watch only once something changed. */
@@ -71,7 +71,7 @@
             + ",\"at\":1,\"k\":{\"b\":[[[\"a\",\"tasks\"],[],[[\"c\",[\"o\",[\"a\",\"tasks\"]],[],[],true]]]]}"
             + ",\"low\":0,\"n\":0},\"stamp\":3}],\"hasNext\":false,\"ledger\":5}";
 
-    private TrainingWire() {}
+    private TrainingMessages() {}
 
     /** The settings file of a node without peers, whose key-value store and cloud are at one address. */
     static String settings(String nodeAddress, String internalAddress, String servicesAddress) {
--- a/src/main/java/org/spoolline/config/Constants.java
+++ b/src/main/java/org/spoolline/config/Constants.java
@@ -19,7 +19,7 @@
         /** Bytes of a pooled network buffer: a heartbeat fits, and a thousand connections stay affordable. */
         public static final int BUFFER_BYTES = 4096;
         /** Buffers kept in the pool: limits idle memory to 1 MiB. */
-        public static final int BUFFERS_KEPT = 256;
+        public static final int BUFFER_POOL_SIZE = 256;
         /** Ms after which a connection without requests is closed: machines that crashed never close theirs. */
         public static final int IDLE_CONNECTION_MS = 60_000;
         /** Sockets of the process per idle outbound connection that is kept open. */
@@ -192,7 +192,7 @@
          */
         public static final double HEARTBEATS_MISSING = 2.4;
         /** Different jobs with errors on a machine after which it is drained and returned. */
-        public static final int MACHINE_ERROR_JOBS = 2;
+        public static final int DRAIN_FAILED_JOBS = 2;
     }
 
     /** Scheduling cycles and the writes that they lead to. */
@@ -204,7 +204,7 @@
         /** Ms between scheduling cycles at high load. */
         public static final long CYCLE_MAX_MS = 400;
         /** Changed jobs in a cycle at which the interval has grown to its maximum. */
-        public static final int CYCLE_FULL_BATCH = 24;
+        public static final int CYCLE_FULL_LOAD_WRITES = 24;
         /** Ms between cycles without any event: timeouts, as of heartbeats and idle machines, make no event. */
         public static final long CYCLE_IDLE_MS = 1_000;
         /** Ms by which a scheduling cycle may begin late before the event loop counts as overloaded. */
@@ -258,7 +258,7 @@
          * Times its save time that a task must have run since its last checkpoint for another to be worth it when it
          * is preempted: saving takes the time of the task and of the one that waits for the capacity.
          */
-        public static final double CHECKPOINT_WORTH = 2;
+        public static final double CHECKPOINT_MIN_UNSAVED_FACTOR = 2;
         /** Ms after which a reservation of machines ends if the job has still not started there. */
         public static final long RESERVATION_MS = 20_000;
         /**
@@ -327,7 +327,7 @@
         /** Jobs remembered by a node: terminal states, which then cost no request, and the times of polls. */
         public static final int JOB_CACHE_SIZE = 4_096;
         /** Ms for which an answered job leaves the last requests to others: half of the 75 s that a poll may wait. */
-        public static final long STATUS_TURN_MS = 40_000;
+        public static final long STATUS_LOW_PRIORITY_MS = 40_000;
         /** Ms for which polls are collected that one request can answer, while few requests are left. */
         public static final long STATUS_BATCH_MS = 40;
         /** Seconds of Retry-After when a request can't be served now: rate limits refill within one. */
--- a/src/main/java/org/spoolline/config/Settings.java
+++ b/src/main/java/org/spoolline/config/Settings.java
@@ -98,7 +98,7 @@
     public record StoreLimits(
             double requestsPerS, double writesPerS, int valueBytes, int txnOps, StoreLimits announced) {
         /** Limits that hold now and go on to hold once the announced ones do: the lower of each. */
-        public StoreLimits lowestAnnounced() {
+        public StoreLimits lowestOfCurrentAndAnnounced() {
             return announced == null ? this : lowest(announced);
         }
 
@@ -202,17 +202,17 @@
     }
 
     /** Limits of the process that are too low, one text each; a node with such limits serves as far as it can. */
-    public List<String> shortages() {
-        List<String> found = new ArrayList<>();
+    public List<String> insufficientLimits() {
+        List<String> problems = new ArrayList<>();
         if (quota.memoryMb() < Constants.Process.FULL_HEAP_PROCESS_MB) {
-            found.add("cluster.quota.ram_mb is " + (int) quota.memoryMb() + ", a full heap takes "
+            problems.add("cluster.quota.ram_mb is " + (int) quota.memoryMb() + ", a full heap takes "
                     + Constants.Process.FULL_HEAP_PROCESS_MB);
         }
         if (quota.sockets() < Constants.Process.SOCKETS_NEEDED) {
-            found.add("cluster.quota.sockets is " + quota.sockets() + ", at least " + Constants.Process.SOCKETS_NEEDED
-                    + " are needed");
+            problems.add("cluster.quota.sockets is " + quota.sockets() + ", at least "
+                    + Constants.Process.SOCKETS_NEEDED + " are needed");
         }
-        return found;
+        return problems;
     }
 
     /** Ms between renewals of the leadership lease. */
--- a/src/main/java/org/spoolline/config/SettingsFile.java
+++ b/src/main/java/org/spoolline/config/SettingsFile.java
@@ -26,10 +26,10 @@
     private static final Set<String> CLUSTER_FIELDS =
             Set.of("count", "zones", "time_bound_ms", "teams", "objectives", "workers", "state", "cloud", "quota");
     /** The table of the limits that are announced. */
-    private static final String NEXT = "next";
+    private static final String ANNOUNCED_LIMITS = "next";
 
     private static final double BYTES_PER_KB = 1024;
-    private static final Settings.StoreLimits DEFAULT_LIMITS = new Settings.StoreLimits(
+    private static final Settings.StoreLimits DEFAULT_STORE_LIMITS = new Settings.StoreLimits(
             SettingsDefaults.STORE_RPS,
             SettingsDefaults.STORE_WRITE_RPS,
             SettingsDefaults.VALUE_BYTES,
@@ -97,9 +97,9 @@
     }
 
     private Loaded load() throws SettingsException {
-        root.checkNames(ROOT_FIELDS);
-        SettingsTable cluster = root.table("cluster").checkNames(CLUSTER_FIELDS);
-        SettingsTable services = root.table("services").checkNames(Set.of("cloud", "state"));
+        root.reportUnknownFields(ROOT_FIELDS);
+        SettingsTable cluster = root.table("cluster").reportUnknownFields(CLUSTER_FIELDS);
+        SettingsTable services = root.table("services").reportUnknownFields(Set.of("cloud", "state"));
         List<Settings.Peer> peers = peers();
         Settings settings = new Settings(
                 root.requiredText("node_name"),
@@ -117,7 +117,7 @@
                 cloud(cluster.table("cloud")),
                 quota(cluster.table("quota")),
                 OperatorSettings.DEFAULTS);
-        findings.throwIfRejected();
+        findings.throwIfErrors();
         if (settings.leadershipMs() < Constants.Election.LEADERSHIP_MIN_MS) {
             throw new SettingsException("cluster.workers.cancel_s is too short for lease_s: "
                     + "no time is left between them for leadership");
@@ -128,7 +128,7 @@
     private List<Settings.Peer> peers() {
         List<Settings.Peer> peers = new ArrayList<>();
         for (SettingsTable seed : root.tables("seeds")) {
-            seed.checkNames(Set.of("node_name", "domain", "endpoint"));
+            seed.reportUnknownFields(Set.of("node_name", "domain", "endpoint"));
             peers.add(new Settings.Peer(seed.requiredText("node_name"), seed.requiredAddress("endpoint")));
         }
         return List.copyOf(peers);
@@ -137,7 +137,7 @@
     private static Map<String, Settings.Team> teams(SettingsTable cluster) {
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         for (SettingsTable table : cluster.tables("teams")) {
-            table.checkNames(Set.of("name", "cpus", "cpus_max", "gpus", "gpus_max"));
+            table.reportUnknownFields(Set.of("name", "cpus", "cpus_max", "gpus", "gpus_max"));
             Settings.Team team = new Settings.Team(
                     table.requiredText("name"),
                     table.number("cpus", 0),
@@ -158,7 +158,7 @@
     private static List<Settings.Objective> objectives(SettingsTable cluster) {
         List<Settings.Objective> objectives = new ArrayList<>();
         for (SettingsTable table : cluster.tables("objectives")) {
-            table.checkNames(OBJECTIVE_FIELDS);
+            table.reportUnknownFields(OBJECTIVE_FIELDS);
             objectives.add(new Settings.Objective(
                     table.text("kind", ""),
                     table.optionalText("class"),
@@ -169,7 +169,7 @@
     }
 
     private static Settings.Workers workers(SettingsTable table) {
-        table.checkNames(Set.of("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"));
+        table.reportUnknownFields(Set.of("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"));
         long leaseMs = table.requiredMillis("lease_s");
         return new Settings.Workers(
                 table.millis("report_s", Math.max(1, leaseMs / SettingsDefaults.HEARTBEATS_PER_LEASE)),
@@ -180,53 +180,58 @@
     }
 
     private static Settings.StoreLimits storeLimits(SettingsTable table) {
-        table.checkNames(Set.of("rps", "write_rps", "value_kb", "txn_ops", "next"));
+        table.reportUnknownFields(Set.of("rps", "write_rps", "value_kb", "txn_ops", "next"));
         Settings.StoreLimits current = new Settings.StoreLimits(
-                table.positive("rps", DEFAULT_LIMITS.requestsPerS()),
-                table.positive("write_rps", DEFAULT_LIMITS.writesPerS()),
-                bytes(table, DEFAULT_LIMITS),
-                table.count("txn_ops", DEFAULT_LIMITS.txnOps()),
+                table.positiveNumber("rps", DEFAULT_STORE_LIMITS.requestsPerS()),
+                table.positiveNumber("write_rps", DEFAULT_STORE_LIMITS.writesPerS()),
+                valueBytes(table, DEFAULT_STORE_LIMITS),
+                table.count("txn_ops", DEFAULT_STORE_LIMITS.txnOps()),
                 null);
         return new Settings.StoreLimits(
                 current.requestsPerS(),
                 current.writesPerS(),
                 current.valueBytes(),
                 current.txnOps(),
-                announced(table, current));
+                announcedLimits(table, current));
     }
 
     /**
      * The limits announced for later, or null. A limit that is missing stays as it is now; one that is unusable is replaced
      * by the lowest that may hold.
      */
-    private static Settings.StoreLimits announced(SettingsTable state, Settings.StoreLimits current) {
-        if (!state.has(NEXT)) {
+    private static Settings.StoreLimits announcedLimits(SettingsTable state, Settings.StoreLimits current) {
+        if (!state.has(ANNOUNCED_LIMITS)) {
             return null;
         }
-        SettingsTable next = state.table(NEXT).checkNames(Set.of("rps", "write_rps", "value_kb", "txn_ops"));
-        Settings.StoreLimits lowest = current.lowest(DEFAULT_LIMITS);
-        Settings.StoreLimits ifMissing = state.hasTable(NEXT) ? current : lowest;
+        SettingsTable limits =
+                state.table(ANNOUNCED_LIMITS).reportUnknownFields(Set.of("rps", "write_rps", "value_kb", "txn_ops"));
+        Settings.StoreLimits lowest = current.lowest(DEFAULT_STORE_LIMITS);
+        Settings.StoreLimits missingFieldLimits = state.hasTable(ANNOUNCED_LIMITS) ? current : lowest;
         return new Settings.StoreLimits(
-                next.has("rps") ? next.positive("rps", lowest.requestsPerS()) : ifMissing.requestsPerS(),
-                next.has("write_rps") ? next.positive("write_rps", lowest.writesPerS()) : ifMissing.writesPerS(),
-                next.has("value_kb") ? bytes(next, lowest) : ifMissing.valueBytes(),
-                next.has("txn_ops") ? next.count("txn_ops", lowest.txnOps()) : ifMissing.txnOps(),
+                limits.has("rps")
+                        ? limits.positiveNumber("rps", lowest.requestsPerS())
+                        : missingFieldLimits.requestsPerS(),
+                limits.has("write_rps")
+                        ? limits.positiveNumber("write_rps", lowest.writesPerS())
+                        : missingFieldLimits.writesPerS(),
+                limits.has("value_kb") ? valueBytes(limits, lowest) : missingFieldLimits.valueBytes(),
+                limits.has("txn_ops") ? limits.count("txn_ops", lowest.txnOps()) : missingFieldLimits.txnOps(),
                 null);
     }
 
-    private static int bytes(SettingsTable table, Settings.StoreLimits defaults) {
-        return (int) (table.positive("value_kb", defaults.valueBytes() / BYTES_PER_KB) * BYTES_PER_KB);
+    private static int valueBytes(SettingsTable table, Settings.StoreLimits defaults) {
+        return (int) (table.positiveNumber("value_kb", defaults.valueBytes() / BYTES_PER_KB) * BYTES_PER_KB);
     }
 
     private static Settings.Cloud cloud(SettingsTable table) {
-        table.checkNames(Set.of("rps", "list_lag_s"));
+        table.reportUnknownFields(Set.of("rps", "list_lag_s"));
         return new Settings.Cloud(
-                table.positive("rps", SettingsDefaults.CLOUD_RPS),
+                table.positiveNumber("rps", SettingsDefaults.CLOUD_RPS),
                 table.millis("list_lag_s", SettingsDefaults.CLOUD_LIST_LAG_MS));
     }
 
     private static Settings.Quota quota(SettingsTable table) {
-        table.checkNames(Set.of("cpu_share", "ram_mb", "sockets"));
+        table.reportUnknownFields(Set.of("cpu_share", "ram_mb", "sockets"));
         return new Settings.Quota(
                 table.number("cpu_share", SettingsDefaults.CPU_SHARE),
                 table.number("ram_mb", Constants.Process.FULL_HEAP_PROCESS_MB),
--- a/src/main/java/org/spoolline/config/SettingsFindings.java
+++ b/src/main/java/org/spoolline/config/SettingsFindings.java
@@ -12,22 +12,22 @@
     private final Set<String> unknownFields = new LinkedHashSet<>();
 
     /** A required field is missing or unusable, so that the node can't start. */
-    void reject(String message) {
+    void addError(String message) {
         errors.add(message);
     }
 
     /** A field is missing or unusable, and a default is used. */
-    void replace(String field, String found, Object used) {
+    void addReplacement(String field, String found, Object used) {
         replacements.add(new SettingsFile.Replacement(field, found, used));
     }
 
     /** This version does not know the field. */
-    void unknown(String field) {
+    void addUnknownField(String field) {
         unknownFields.add(field);
     }
 
     /** Throws if any field was rejected; the message names all of them on one line. */
-    void throwIfRejected() throws SettingsException {
+    void throwIfErrors() throws SettingsException {
         if (!errors.isEmpty()) {
             throw new SettingsException(String.join("; ", errors));
         }
--- a/src/main/java/org/spoolline/config/SettingsTable.java
+++ b/src/main/java/org/spoolline/config/SettingsTable.java
@@ -35,11 +35,11 @@
 
     /** A table within this one; when it is missing or no table, all of its fields count as missing. */
     SettingsTable table(String name) {
-        JsonNode inner = table.path(name);
-        if (!inner.isMissingNode() && !inner.isObject()) {
-            findings.replace(path + name, quote(inner), "an empty table");
+        JsonNode nested = table.path(name);
+        if (!nested.isMissingNode() && !nested.isObject()) {
+            findings.addReplacement(path + name, quote(nested), "an empty table");
         }
-        return new SettingsTable(inner.isObject() ? inner : MissingNode.getInstance(), path + name + ".", findings);
+        return new SettingsTable(nested.isObject() ? nested : MissingNode.getInstance(), path + name + ".", findings);
     }
 
     /** The tables of an array; an element that is no table counts as an empty one. */
@@ -52,11 +52,11 @@
     }
 
     /** Adds each field that is not among the known ones to the findings. Returns this table. */
-    SettingsTable checkNames(Set<String> known) {
+    SettingsTable reportUnknownFields(Set<String> knownFields) {
         for (Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            if (!known.contains(name)) {
-                findings.unknown(path + name);
+            if (!knownFields.contains(name)) {
+                findings.addUnknownField(path + name);
             }
         }
         return this;
@@ -78,7 +78,7 @@
         if (isText(value)) {
             return value.asText();
         }
-        findings.reject("settings need the text " + path + name + ", which is " + quote(value));
+        findings.addError("settings need the text " + path + name + ", which is " + quote(value));
         return "";
     }
 
@@ -88,7 +88,7 @@
         boolean valid = ADDRESS.matcher(value).matches()
                 && Integer.parseInt(value.substring(value.indexOf(':') + 1)) <= MAX_PORT;
         if (!value.isEmpty() && !valid) {
-            findings.reject("settings field " + path + name + " is not host:port: " + value);
+            findings.addError("settings field " + path + name + " is not host:port: " + value);
         }
         return value;
     }
@@ -96,10 +96,10 @@
     /** A number of 0 or more; rejected otherwise. */
     double requiredNumber(String name) {
         JsonNode value = table.path(name);
-        if (isAmount(value)) {
+        if (isNonNegativeNumber(value)) {
             return value.asDouble();
         }
-        findings.reject("settings need a number of 0 or more at " + path + name + ", which is " + quote(value));
+        findings.addError("settings need a number of 0 or more at " + path + name + ", which is " + quote(value));
         return 0;
     }
 
@@ -107,8 +107,8 @@
     long requiredMillis(String name) {
         double seconds = requiredNumber(name);
         long millis = Math.round(seconds * MILLIS_PER_S);
-        if (isAmount(table.path(name)) && millis <= 0) {
-            findings.reject("settings need a number over 0 at " + path + name + ", which is " + seconds);
+        if (isNonNegativeNumber(table.path(name)) && millis <= 0) {
+            findings.addError("settings need a number over 0 at " + path + name + ", which is " + seconds);
         }
         return millis;
     }
@@ -116,7 +116,7 @@
     /** A text that is not empty, or the default. */
     String text(String name, String defaultValue) {
         JsonNode value = table.path(name);
-        return isText(value) ? value.asText() : replace(name, value, defaultValue);
+        return isText(value) ? value.asText() : useDefault(name, value, defaultValue);
     }
 
     /** A text that may be left out; null when it is missing or unusable. */
@@ -127,39 +127,43 @@
     /** A number of 0 or more, or the default. */
     double number(String name, double defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) ? value.asDouble() : replace(name, value, defaultValue);
+        return isNonNegativeNumber(value) ? value.asDouble() : useDefault(name, value, defaultValue);
     }
 
     /** A number of 0 or more that may be left out; null when it is missing or unusable. */
     Double optionalNumber(String name) {
         JsonNode value = table.path(name);
-        if (isAbsent(value) || isAmount(value)) {
+        if (isAbsent(value) || isNonNegativeNumber(value)) {
             return isAbsent(value) ? null : Double.valueOf(value.asDouble());
         }
-        return replace(name, value, null);
+        return useDefault(name, value, null);
     }
 
     /** A positive number, or the default. */
-    double positive(String name, double defaultValue) {
+    double positiveNumber(String name, double defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) && value.asDouble() > 0 ? value.asDouble() : replace(name, value, defaultValue);
+        return isNonNegativeNumber(value) && value.asDouble() > 0
+                ? value.asDouble()
+                : useDefault(name, value, defaultValue);
     }
 
     /** A number of 1 or more without its fraction, or the default. */
     int count(String name, int defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) && value.asDouble() >= 1 ? (int) value.asDouble() : replace(name, value, defaultValue);
+        return isNonNegativeNumber(value) && value.asDouble() >= 1
+                ? (int) value.asDouble()
+                : useDefault(name, value, defaultValue);
     }
 
     /** A positive number of seconds, as milliseconds, or the default in milliseconds. */
     long millis(String name, long defaultValue) {
         JsonNode value = table.path(name);
-        long millis = isAmount(value) ? Math.round(value.asDouble() * MILLIS_PER_S) : 0;
-        return millis > 0 ? millis : replace(name, value, defaultValue);
+        long millis = isNonNegativeNumber(value) ? Math.round(value.asDouble() * MILLIS_PER_S) : 0;
+        return millis > 0 ? millis : useDefault(name, value, defaultValue);
     }
 
-    private <T> T replace(String name, JsonNode found, T used) {
-        findings.replace(path + name, quote(found), used);
+    private <T> T useDefault(String name, JsonNode found, T used) {
+        findings.addReplacement(path + name, quote(found), used);
         return used;
     }
 
@@ -171,7 +175,7 @@
         return value.isTextual() && !value.asText().isEmpty();
     }
 
-    private static boolean isAmount(JsonNode value) {
+    private static boolean isNonNegativeNumber(JsonNode value) {
         return value.isNumber() && value.asDouble() >= 0 && !Double.isInfinite(value.asDouble());
     }
 
--- a/src/main/java/org/spoolline/kvstore/StoreRateLimits.java
+++ b/src/main/java/org/spoolline/kvstore/StoreRateLimits.java
@@ -32,7 +32,7 @@
         this.loop = loop;
         this.controllers = Math.max(1, settings.controllers());
         this.enforced = settings.storeLimits();
-        this.announced = settings.storeLimits().lowestAnnounced();
+        this.announced = settings.storeLimits().lowestOfCurrentAndAnnounced();
         this.requests = new RateLimiter(1, loop.now());
         this.writes = new RateLimiter(1, loop.now());
         setLeader(false);
--- a/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
+++ b/src/main/java/org/spoolline/reconcile/TaskExitHandler.java
@@ -74,7 +74,7 @@
                 machine.name());
         job.recordTaskFailure(machine.name(), loop.timeOfDay());
         int failedJobs = machine.recordTaskFailure(job.jobId());
-        if (failedJobs >= Constants.Heartbeat.MACHINE_ERROR_JOBS && !machine.draining()) {
+        if (failedJobs >= Constants.Heartbeat.DRAIN_FAILED_JOBS && !machine.draining()) {
             LOG.info("Draining machine: machine={} reason=task_failures jobs={}", machine.name(), failedJobs);
             machine.drain();
         }
--- a/src/main/java/org/spoolline/scheduler/CyclePacer.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePacer.java
@@ -38,7 +38,7 @@
             return;
         }
         scheduled = true;
-        double load = Math.min(1.0, (double) lastWriteCount / Constants.Cycle.CYCLE_FULL_BATCH);
+        double load = Math.min(1.0, (double) lastWriteCount / Constants.Cycle.CYCLE_FULL_LOAD_WRITES);
         long minMs = settings.operator().cycleMinMs();
         long maxMs = settings.operator().cycleMaxMs();
         schedule(minMs + (long) (load * (maxMs - minMs)));
--- a/src/main/java/org/spoolline/scheduler/Victim.java
+++ b/src/main/java/org/spoolline/scheduler/Victim.java
@@ -21,8 +21,8 @@
         Submission spec = job.spec();
         double ranS = machine.observedRunMs(AttemptId.of(job.jobId(), attempt), now) / 1000.0;
         double unsavedS = spec.workSinceCheckpointS(ranS);
-        boolean worthSaving =
-                spec.checkpoints() && unsavedS > Constants.Placement.CHECKPOINT_WORTH * spec.checkpointSaveS();
+        boolean worthSaving = spec.checkpoints()
+                && unsavedS > Constants.Placement.CHECKPOINT_MIN_UNSAVED_FACTOR * spec.checkpointSaveS();
         return worthSaving
                 ? new Victim(job, attempt, spec.cores() * spec.checkpointSaveS(), spec.stopGraceS())
                 : new Victim(job, attempt, spec.cores() * unsavedS, 0);
--- a/src/test/java/org/spoolline/PackageDependenciesTest.java
+++ b/src/test/java/org/spoolline/PackageDependenciesTest.java
@@ -36,11 +36,11 @@
             .importPackages(ROOT);
 
     @Test
-    void noPackageDependsOnOneAboveIt() {
+    void packagesDependOnLowerLayersOnly() {
         LayeredArchitecture layers = layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage(ROOT + "..")
                 .ensureAllClassesAreContainedInArchitecture();
-        List<String> below = new ArrayList<>();
+        List<String> lowerLayers = new ArrayList<>();
         for (List<String> layer : LAYERS) {
             for (String name : layer) {
                 String identifier = name.isEmpty() ? ROOT : ROOT + "." + name + "..";
@@ -48,20 +48,20 @@
             }
         }
         for (List<String> layer : LAYERS) {
-            String[] lower = below.toArray(new String[0]);
+            String[] lowerLayerNames = lowerLayers.toArray(new String[0]);
             for (String name : layer) {
-                layers = lower.length == 0
+                layers = lowerLayerNames.length == 0
                         ? layers.whereLayer(layerName(name)).mayNotAccessAnyLayer()
-                        : layers.whereLayer(layerName(name)).mayOnlyAccessLayers(lower);
+                        : layers.whereLayer(layerName(name)).mayOnlyAccessLayers(lowerLayerNames);
             }
-            layer.forEach(name -> below.add(layerName(name)));
+            layer.forEach(name -> lowerLayers.add(layerName(name)));
         }
         layers.check(CLASSES);
     }
 
     /** Also says which classes close a cycle, which the order of the layers alone does not. */
     @Test
-    void packagesFormNoCycle() {
+    void packagesAreFreeOfCycles() {
         slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(CLASSES);
     }
 
--- a/src/test/java/org/spoolline/cli/MainTest.java
+++ b/src/test/java/org/spoolline/cli/MainTest.java
@@ -16,10 +16,10 @@
 class MainTest {
     private static final String SETTINGS = SampleSettings.NODE;
 
-    /** How the process ended, with all that it wrote. */
-    private record Ended(int exitCode, String output) {}
+    /** How the process result, with all that it wrote. */
+    private record ProcessResult(int exitCode, String output) {}
 
-    private static Ended check(Path directory, String logLevel, String settings)
+    private static ProcessResult check(Path directory, String logLevel, String settings)
             throws IOException, InterruptedException {
         Path file = Files.writeString(directory.resolve("node.toml"), settings);
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -29,33 +29,33 @@
         builder.environment().put("LOG_LEVEL", logLevel);
         Process process = builder.redirectErrorStream(true).start();
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Ended(process.waitFor(), output);
+        return new ProcessResult(process.waitFor(), output);
     }
 
     /** A level that this version does not know must not keep a node from starting. */
     @Test
-    void anUnknownLogLevelKeepsNoNodeFromStarting(@TempDir Path directory) throws Exception {
-        Ended ended = check(directory, "warn", SETTINGS);
-        assertEquals(0, ended.exitCode(), ended.output());
-        assertTrue(ended.output().contains("LOG_LEVEL"), ended.output());
+    void unknownLogLevelDoesNotPreventStart(@TempDir Path directory) throws Exception {
+        ProcessResult result = check(directory, "warn", SETTINGS);
+        assertEquals(0, result.exitCode(), result.output());
+        assertTrue(result.output().contains("LOG_LEVEL"), result.output());
     }
 
-    /** Without a last line, a process that refuses its settings looks like one that was killed. */
+    /** Without a lastLine line, a process that refuses its settings looks like one that was killed. */
     @Test
-    void aProcessThatEndsByItselfSaysWhyLast(@TempDir Path directory) throws Exception {
-        Ended ended = check(directory, "info", SETTINGS.replace("lease_s = 18.0", "lease_s = -1"));
-        assertEquals(2, ended.exitCode(), ended.output());
-        String last = ended.output().lines().reduce("", (before, line) -> line);
-        assertTrue(last.startsWith("spoolline: ends with exit code 2: "), last);
-        assertTrue(last.contains("cluster.workers.lease_s, which is -1"), last);
+    void lastOutputLineGivesExitReason(@TempDir Path directory) throws Exception {
+        ProcessResult result = check(directory, "info", SETTINGS.replace("lease_s = 18.0", "lease_s = -1"));
+        assertEquals(2, result.exitCode(), result.output());
+        String lastLine = result.output().lines().reduce("", (previous, line) -> line);
+        assertTrue(lastLine.startsWith("spoolline: ends with exit code 2: "), lastLine);
+        assertTrue(lastLine.contains("cluster.workers.lease_s, which is -1"), lastLine);
     }
 
     /** {@code --check} is stricter than a start: a field that would be replaced is reported, and the check fails. */
     @Test
-    void theCheckFailsOnAFieldThatWouldBeReplaced(@TempDir Path directory) throws Exception {
+    void checkFailsOnReplacedField(@TempDir Path directory) throws Exception {
         assertEquals(0, check(directory, "info", SETTINGS).exitCode());
-        Ended ended = check(directory, "info", SETTINGS.replace("sockets = 2500", "sockets = \"many\""));
-        assertEquals(2, ended.exitCode(), ended.output());
-        assertTrue(ended.output().contains("cluster.quota.sockets is \"many\", 100 is used"), ended.output());
+        ProcessResult result = check(directory, "info", SETTINGS.replace("sockets = 2500", "sockets = \"many\""));
+        assertEquals(2, result.exitCode(), result.output());
+        assertTrue(result.output().contains("cluster.quota.sockets is \"many\", 100 is used"), result.output());
     }
 }
--- a/src/test/java/org/spoolline/config/SettingsFileTest.java
+++ b/src/test/java/org/spoolline/config/SettingsFileTest.java
@@ -11,7 +11,7 @@
 
 /** The platform's file, checked. */
 class SettingsFileTest {
-    private static final String VALID = SampleSettings.NODE;
+    private static final String VALID_SETTINGS = SampleSettings.NODE;
 
     private static List<String> replacements(String toml) throws SettingsException {
         return SettingsFile.loadText(toml).replacements().stream()
@@ -26,9 +26,9 @@
 
     /** Bounds that were fixed for the first deployments once did not grow with the machines. */
     @Test
-    void boundsAndTimesFollowFromTheSettings() throws Exception {
-        Settings small = SettingsFile.parse(VALID.replace("sockets = 2500", "sockets = 100"));
-        Settings large = SettingsFile.parse(VALID.replace("report_s = 3.0", "report_s = 4.0"));
+    void derivesLimitsAndTimesFromSettings() throws Exception {
+        Settings small = SettingsFile.parse(VALID_SETTINGS.replace("sockets = 2500", "sockets = 100"));
+        Settings large = SettingsFile.parse(VALID_SETTINGS.replace("report_s = 3.0", "report_s = 4.0"));
         assertEquals(100, small.backlog());
         assertEquals(2500, large.backlog());
         assertTrue(small.maxEarlyHeartbeatRequests() + small.idleConnections() < 100 / 2);
@@ -40,18 +40,21 @@
     }
 
     @Test
-    void limitsTooLowToServeInFullAreNamedAndNotRejected() throws Exception {
-        assertEquals(0, SettingsFile.parse(VALID).shortages().size());
-        String shortages = SettingsFile.parse(
-                        VALID.replace("sockets = 2500", "sockets = 20").replace("ram_mb = 320.0", "ram_mb = 64.0"))
-                .shortages()
+    void reportsInsufficientLimitsWithoutRejecting() throws Exception {
+        assertEquals(0, SettingsFile.parse(VALID_SETTINGS).insufficientLimits().size());
+        String insufficientLimits = SettingsFile.parse(VALID_SETTINGS
+                        .replace("sockets = 2500", "sockets = 20")
+                        .replace("ram_mb = 320.0", "ram_mb = 64.0"))
+                .insufficientLimits()
                 .toString();
-        assertTrue(shortages.contains("sockets is 20") && shortages.contains("ram_mb is 64"), shortages);
+        assertTrue(
+                insufficientLimits.contains("sockets is 20") && insufficientLimits.contains("ram_mb is 64"),
+                insufficientLimits);
     }
 
     @Test
-    void unknownFieldsAreIgnored() throws Exception {
-        Settings settings = SettingsFile.parse(VALID);
+    void ignoresUnknownFields() throws Exception {
+        Settings settings = SettingsFile.parse(VALID_SETTINGS);
         assertEquals("n0", settings.node());
         assertEquals(2.0, settings.teams().get("t").maxCores());
     }
@@ -61,7 +64,7 @@
      * held a whole deployment down. Each other field may be missing, or be anything at all.
      */
     @Test
-    void fieldsThatANodeCanServeWithoutKeepNoNodeFromStarting() throws Exception {
+    void acceptsMissingAndInvalidOptionalFields() throws Exception {
         for (String field : List.of(
                 "domain = \"a\"",
                 "count = 1",
@@ -79,36 +82,37 @@
                 "sockets = 2500",
                 "cpus = 1.0",
                 "gpus = 0.0")) {
-            assertTrue(VALID.contains("\n" + field + "\n"), field);
+            assertTrue(VALID_SETTINGS.contains("\n" + field + "\n"), field);
             String name = field.substring(0, field.indexOf(' '));
-            for (String unusable : List.of("", name + " = \"odd\"", name + " = -1", name + " = nan", name + " = [1]")) {
-                Settings settings = SettingsFile.parse(VALID.replace("\n" + field + "\n", "\n" + unusable + "\n"));
-                assertEquals("n0", settings.node(), unusable);
+            for (String invalid : List.of("", name + " = \"odd\"", name + " = -1", name + " = nan", name + " = [1]")) {
+                Settings settings =
+                        SettingsFile.parse(VALID_SETTINGS.replace("\n" + field + "\n", "\n" + invalid + "\n"));
+                assertEquals("n0", settings.node(), invalid);
             }
         }
         for (String table : List.of("cloud", "quota", "state")) {
             assertEquals(
                     "n0",
-                    SettingsFile.parse(VALID.replace("[cluster." + table + "]", "[cluster.other]"))
+                    SettingsFile.parse(VALID_SETTINGS.replace("[cluster." + table + "]", "[cluster.other]"))
                             .node());
         }
-        for (String unusable :
+        for (String invalid :
                 List.of("next = 3", "[cluster.state.next]\nvalue_kb = 0", "[cluster.state.next]\nrps = \"x\"")) {
             assertEquals(
                     "n0",
-                    SettingsFile.parse(VALID.replace("txn_ops = 12", "txn_ops = 12\n" + unusable))
+                    SettingsFile.parse(VALID_SETTINGS.replace("txn_ops = 12", "txn_ops = 12\n" + invalid))
                             .node());
         }
         assertEquals(
                 "n0",
-                SettingsFile.parse(VALID + "[[cluster.objectives]]\nkind = 1\nwithin_s = -1\n")
+                SettingsFile.parse(VALID_SETTINGS + "[[cluster.objectives]]\nkind = 1\nwithin_s = -1\n")
                         .node());
     }
 
     /** A guest team has no guarantee and no limit: read as a limit of nothing, each of its jobs got 422. */
     @Test
-    void aLimitOfZeroMeansNone() throws Exception {
-        Settings.Team team = SettingsFile.parse(VALID.replace("cpus_max = 2.0", "cpus_max = 0.0"))
+    void treatsTeamLimitOfZeroAsUnlimited() throws Exception {
+        Settings.Team team = SettingsFile.parse(VALID_SETTINGS.replace("cpus_max = 2.0", "cpus_max = 0.0"))
                 .teams()
                 .values()
                 .iterator()
@@ -118,18 +122,21 @@
     }
 
     @Test
-    void rejectionsNameTheField() {
-        assertTrue(rejection(VALID.replace("lease_s = 18.0\n", "")).contains("cluster.workers.lease_s"));
-        assertTrue(rejection(VALID.replace("lease_s = 18.0\n", "lease_s = 0\n")).contains("cluster.workers.lease_s"));
-        assertTrue(rejection(VALID.replace("cancel_s = 48.0\n", "cancel_s = nan\n"))
+    void rejectionNamesField() {
+        assertTrue(rejection(VALID_SETTINGS.replace("lease_s = 18.0\n", "")).contains("cluster.workers.lease_s"));
+        assertTrue(rejection(VALID_SETTINGS.replace("lease_s = 18.0\n", "lease_s = 0\n"))
+                .contains("cluster.workers.lease_s"));
+        assertTrue(rejection(VALID_SETTINGS.replace("cancel_s = 48.0\n", "cancel_s = nan\n"))
                 .contains("cluster.workers.cancel_s"));
-        assertTrue(
-                rejection(VALID.replace("cpus_max = 2.0\n", "cpus_max = -1\n")).contains("cluster.teams.cpus_max"));
-        assertTrue(rejection(VALID.replace("gpus_max = 0.0\n", "")).contains("cluster.teams.gpus_max"));
-        assertTrue(rejection(VALID.replace("state = \"10.2.0.1:2379\"", "")).contains("services.state"));
-        assertTrue(rejection(VALID.replace("[services]", "[[seeds]]\nnode_name = \"n1\"\n[services]"))
+        assertTrue(rejection(VALID_SETTINGS.replace("cpus_max = 2.0\n", "cpus_max = -1\n"))
+                .contains("cluster.teams.cpus_max"));
+        assertTrue(rejection(VALID_SETTINGS.replace("gpus_max = 0.0\n", "")).contains("cluster.teams.gpus_max"));
+        assertTrue(rejection(VALID_SETTINGS.replace("state = \"10.2.0.1:2379\"", ""))
+                .contains("services.state"));
+        assertTrue(rejection(VALID_SETTINGS.replace("[services]", "[[seeds]]\nnode_name = \"n1\"\n[services]"))
                 .contains("seeds.endpoint"));
-        assertTrue(rejection(VALID.replace("\"10.0.0.1:8080\"", "\"nowhere\"")).contains("serve_on"));
+        assertTrue(rejection(VALID_SETTINGS.replace("\"10.0.0.1:8080\"", "\"nowhere\""))
+                .contains("serve_on"));
         assertTrue(rejection("node_name = ").contains("TOML"));
         assertTrue(assertThrows(SettingsException.class, () -> SettingsFile.load(Path.of("no-such-file")))
                 .getMessage()
@@ -138,9 +145,9 @@
 
     /** An objective on users' deadlines has no time of its own; a node that required one did not start. */
     @Test
-    void objectivesOfKindsWithOtherFieldsAreRead() throws Exception {
+    void readsObjectiveWithoutTime() throws Exception {
         Settings settings = SettingsFile.parse(
-                VALID
+                VALID_SETTINGS
                         + """
                         [[cluster.objectives]]
                         kind = "deadline"
@@ -152,38 +159,42 @@
         assertNull(settings.objectives().get(0).withinS());
         assertEquals(
                 List.of("settings field cluster.objectives.within_s is -1, null is used"),
-                replacements(VALID + "[[cluster.objectives]]\nkind = \"wait\"\nwithin_s = -1\n"));
+                replacements(VALID_SETTINGS + "[[cluster.objectives]]\nkind = \"wait\"\nwithin_s = -1\n"));
     }
 
     @Test
-    void announcedLimitsAreCheckedAndEachMayBeLeftOut() throws Exception {
+    void readsPartialAnnouncedLimits() throws Exception {
         assertEquals(
-                SettingsFile.parse(VALID).storeLimits(),
-                SettingsFile.parse(VALID).storeLimits().lowestAnnounced());
+                SettingsFile.parse(VALID_SETTINGS).storeLimits(),
+                SettingsFile.parse(VALID_SETTINGS).storeLimits().lowestOfCurrentAndAnnounced());
         Settings.StoreLimits announced = SettingsFile.parse(
-                        VALID + "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nlater = 1\n")
+                        VALID_SETTINGS + "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nlater = 1\n")
                 .storeLimits();
         assertEquals(8 * 1024, announced.valueBytes());
-        assertEquals(new Settings.StoreLimits(100, 40, 2 * 1024, 4, null), announced.lowestAnnounced());
+        assertEquals(new Settings.StoreLimits(100, 40, 2 * 1024, 4, null), announced.lowestOfCurrentAndAnnounced());
     }
 
     /** Unusable announced limits are replaced by ones that allow no more than the present ones and the defaults. */
     @Test
-    void unusableAnnouncedLimitsAreReportedAndReplacedByTheLowest() throws Exception {
-        String unusableValue = VALID + "[cluster.state.next]\nvalue_kb = 0\n";
+    void replacesInvalidAnnouncedLimitsByLowest() throws Exception {
+        String invalidValue = VALID_SETTINGS + "[cluster.state.next]\nvalue_kb = 0\n";
         assertEquals(
-                List.of("settings field cluster.state.next.value_kb is 0, 2.0 is used"), replacements(unusableValue));
+                List.of("settings field cluster.state.next.value_kb is 0, 2.0 is used"), replacements(invalidValue));
         assertEquals(
                 new Settings.StoreLimits(100, 40, SettingsDefaults.VALUE_BYTES, 12, null),
-                SettingsFile.parse(unusableValue).storeLimits().lowestAnnounced());
-        String unusableRate = VALID + "[cluster.state.next]\nrps = \"x\"\n";
+                SettingsFile.parse(invalidValue).storeLimits().lowestOfCurrentAndAnnounced());
+        String invalidRate = VALID_SETTINGS + "[cluster.state.next]\nrps = \"x\"\n";
         assertEquals(
-                List.of("settings field cluster.state.next.rps is \"x\", 20.0 is used"), replacements(unusableRate));
+                List.of("settings field cluster.state.next.rps is \"x\", 20.0 is used"), replacements(invalidRate));
         assertEquals(
                 SettingsDefaults.STORE_RPS,
-                SettingsFile.parse(unusableRate).storeLimits().lowestAnnounced().requestsPerS());
-        String noTable = VALID.replace("txn_ops = 12", "txn_ops = 12\nnext = 3");
-        assertEquals(List.of("settings field cluster.state.next is 3, an empty table is used"), replacements(noTable));
+                SettingsFile.parse(invalidRate)
+                        .storeLimits()
+                        .lowestOfCurrentAndAnnounced()
+                        .requestsPerS());
+        String notATable = VALID_SETTINGS.replace("txn_ops = 12", "txn_ops = 12\nnext = 3");
+        assertEquals(
+                List.of("settings field cluster.state.next is 3, an empty table is used"), replacements(notATable));
         assertEquals(
                 new Settings.StoreLimits(
                         SettingsDefaults.STORE_RPS,
@@ -191,29 +202,34 @@
                         SettingsDefaults.VALUE_BYTES,
                         SettingsDefaults.TRANSACTION_WRITES,
                         null),
-                SettingsFile.parse(noTable).storeLimits().lowestAnnounced());
+                SettingsFile.parse(notATable).storeLimits().lowestOfCurrentAndAnnounced());
     }
 
     /** What is replaced is reported with its value, and what is rejected is reported all at once. */
     @Test
-    void everyFindingIsNamed() throws Exception {
-        assertEquals(List.of(), replacements(VALID));
-        assertEquals(List.of("unheard_of"), SettingsFile.loadText(VALID).unknownFields());
+    void reportsAllFindings() throws Exception {
+        assertEquals(List.of(), replacements(VALID_SETTINGS));
+        assertEquals(
+                List.of("unheard_of"), SettingsFile.loadText(VALID_SETTINGS).unknownFields());
         assertEquals(
                 List.of(
                         "settings field cluster.state.rps is -1, 20.0 is used",
                         "settings field cluster.quota.sockets is missing, 100 is used"),
-                replacements(VALID.replace("\nrps = 100.0\n", "\nrps = -1\n").replace("sockets = 2500\n", "")));
-        String both = rejection(VALID.replace("node_name = \"n0\"", "").replace("lease_s = 18.0", "lease_s = \"x\""));
-        assertTrue(both.contains("node_name, which is missing"), both);
-        assertTrue(both.contains("cluster.workers.lease_s, which is \"x\""), both);
-        assertEquals(1, both.lines().count());
+                replacements(VALID_SETTINGS
+                        .replace("\nrps = 100.0\n", "\nrps = -1\n")
+                        .replace("sockets = 2500\n", "")));
+        String twoErrors = rejection(
+                VALID_SETTINGS.replace("node_name = \"n0\"", "").replace("lease_s = 18.0", "lease_s = \"x\""));
+        assertTrue(twoErrors.contains("node_name, which is missing"), twoErrors);
+        assertTrue(twoErrors.contains("cluster.workers.lease_s, which is \"x\""), twoErrors);
+        assertEquals(1, twoErrors.lines().count());
     }
 
     /** A default allows no more than the settings might have. */
     @Test
-    void defaultsAreSmall() throws Exception {
-        Settings settings = SettingsFile.parse(VALID.replace("[cluster.state]", "[cluster.other]")
+    void defaultsAreConservative() throws Exception {
+        Settings settings = SettingsFile.parse(VALID_SETTINGS
+                .replace("[cluster.state]", "[cluster.other]")
                 .replace("[cluster.cloud]", "[cluster.other2]")
                 .replace("[cluster.quota]", "[cluster.other3]")
                 .replace("report_s = 3.0\n", ""));
@@ -228,10 +244,11 @@
 
     /** A cut-off leader, its keep-alive and the workers' lease must all end before a cancellation's bound. */
     @Test
-    void theChainOfLeasesEndsBeforeTheCancellationBound() throws Exception {
+    void leasesExpireBeforeCancellationBound() throws Exception {
         for (double lease : new double[] {4, 10, 18, 30, 40}) {
             for (double share : new double[] {0, 0.04, 0.09, 0.34}) {
-                Settings settings = SettingsFile.parse(VALID.replace("lease_s = 18.0", "lease_s = " + lease)
+                Settings settings = SettingsFile.parse(VALID_SETTINGS
+                        .replace("lease_s = 18.0", "lease_s = " + lease)
                         .replace("cpu_share = 0.34", "cpu_share = " + share));
                 assertTrue(
                         settings.leadershipMs() + settings.keepAliveMs() + settings.leaseExpiryMs()
@@ -239,35 +256,36 @@
                         "lease " + lease + ", share " + share);
             }
         }
-        assertTrue(rejection(VALID.replace("lease_s = 18.0", "lease_s = 47.0")).contains("cancel_s"));
+        assertTrue(rejection(VALID_SETTINGS.replace("lease_s = 18.0", "lease_s = 47.0"))
+                .contains("cancel_s"));
     }
 
     /** Renewals of a process on a small share come late: with 5 s its leadership ended again and again. */
     @Test
-    void leadershipLastsLongerOnASmallShareOfACore() throws Exception {
-        assertEquals(5_000, SettingsFile.parse(VALID).leadershipMs());
+    void extendsLeadershipLeaseOnSmallCpuShare() throws Exception {
+        assertEquals(5_000, SettingsFile.parse(VALID_SETTINGS).leadershipMs());
         assertEquals(
                 10_000,
-                SettingsFile.parse(VALID.replace("cpu_share = 0.34", "cpu_share = 0.041"))
+                SettingsFile.parse(VALID_SETTINGS.replace("cpu_share = 0.34", "cpu_share = 0.041"))
                         .leadershipMs());
     }
 
     @Test
-    void operatorSettingsAreChecked() throws Exception {
+    void validatesOperatorSettings() throws Exception {
         OperatorSettings settings = OperatorSettings.parse("<operator><idle-ms>9000</idle-ms></operator>");
         assertEquals(9_000, settings.idleMs());
         assertEquals(OperatorSettings.DEFAULTS.cycleMaxMs(), settings.cycleMaxMs());
-        for (String[] bad : new String[][] {
+        for (String[] invalid : new String[][] {
             {"<operator><idle-ms>soon</idle-ms></operator>", "idle-ms"},
             {"<operator><lease>1</lease></operator>", "lease"},
             {"<operator><idle-ms>", "XML"},
             {"<operator><round-min-ms>900</round-min-ms></operator>", "round-min-ms"}
         }) {
             assertTrue(
-                    assertThrows(SettingsException.class, () -> OperatorSettings.parse(bad[0]))
+                    assertThrows(SettingsException.class, () -> OperatorSettings.parse(invalid[0]))
                             .getMessage()
-                            .contains(bad[1]),
-                    bad[1]);
+                            .contains(invalid[1]),
+                    invalid[1]);
         }
     }
 }
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresExtension.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresExtension.java
@@ -61,7 +61,7 @@
             return;
         }
         proceed(listed.get(), invocation);
-        throw passed(listed.get());
+        throw passedError(listed.get());
     }
 
     /** Runs one case of a parameterized test; a case that fails is not counted if the test is listed. */
@@ -84,24 +84,24 @@
     void failOnPassedTests(String className) {
         failedCases.forEach((entry, failed) -> {
             if (!failed && entry.className().equals(className)) {
-                throw passed(entry);
+                throw passedError(entry);
             }
         });
     }
 
     /** Runs a listed test; its failure is reported and does not count. */
-    private void proceed(KnownFailuresList.Entry listed, Invocation<Void> invocation) {
+    private void proceed(KnownFailuresList.Entry entry, Invocation<Void> invocation) {
         try {
             invocation.proceed();
         } catch (Throwable failure) {
             String report =
-                    "KNOWN RED: " + listed.test() + " | " + listed.cause() + " | " + listed.issue() + " | " + failure;
+                    "KNOWN RED: " + entry.test() + " | " + entry.cause() + " | " + entry.issue() + " | " + failure;
             log.accept(report);
             throw new TestAbortedException(report, failure);
         }
     }
 
-    private static AssertionError passed(KnownFailuresList.Entry listed) {
-        return new AssertionError(listed.test() + " passes: take it off KNOWN-RED.txt");
+    private static AssertionError passedError(KnownFailuresList.Entry entry) {
+        return new AssertionError(entry.test() + " passes: take it off KNOWN-RED.txt");
     }
 }
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresList.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresList.java
@@ -24,7 +24,7 @@
     static final int MAX_ENTRIES = 3;
 
     private static final Path FILE = Path.of("KNOWN-RED.txt");
-    private static final int FIELDS = 3;
+    private static final int FIELD_COUNT = 3;
 
     /** One test that is known to fail. */
     record Entry(String className, String methodName, String cause, String issue) {
@@ -64,7 +64,7 @@
         List<String> fields =
                 Arrays.stream(line.split("\\|")).map(String::strip).toList();
         String[] test = fields.get(0).split("#");
-        boolean complete = fields.size() == FIELDS
+        boolean complete = fields.size() == FIELD_COUNT
                 && test.length == 2
                 && !fields.get(1).isEmpty()
                 && fields.get(2).matches("issue [0-9]+");
@@ -89,20 +89,20 @@
 
     /** What is wrong with the list itself, one text each: too many entries, one twice, or one whose test does not exist. */
     List<String> problems() {
-        List<String> found = new ArrayList<>();
+        List<String> problems = new ArrayList<>();
         if (entries.size() > MAX_ENTRIES) {
-            found.add(entries.size() + " tests are listed, at most " + MAX_ENTRIES + " may be");
+            problems.add(entries.size() + " tests are listed, at most " + MAX_ENTRIES + " may be");
         }
-        Set<String> seen = new HashSet<>();
+        Set<String> testNames = new HashSet<>();
         for (Entry entry : entries) {
-            if (!seen.add(entry.test())) {
-                found.add(entry.test() + " is listed twice");
+            if (!testNames.add(entry.test())) {
+                problems.add(entry.test() + " is listed twice");
             }
             if (!exists(entry)) {
-                found.add(entry.test() + " is listed but is no test");
+                problems.add(entry.test() + " is listed but is no test");
             }
         }
-        return found;
+        return problems;
     }
 
     private static boolean exists(Entry entry) {
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresTest.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresTest.java
@@ -12,8 +12,8 @@
 
 /** The list of known failures, and the outcome of the tests on it. */
 class KnownFailuresTest {
-    private static final String THIS = KnownFailuresTest.class.getName();
-    private static final String LISTED_TEST = THIS + "#listedTestsThatPassFailTheRun";
+    private static final String TEST_CLASS = KnownFailuresTest.class.getName();
+    private static final String LISTED_TEST = TEST_CLASS + "#listedPassingTestFailsRun";
 
     private static final Invocation<Void> PASSES = () -> null;
     private static final Invocation<Void> FAILS = () -> {
@@ -31,48 +31,48 @@
     }
 
     @Test
-    void theListOfThisRepositoryIsValid() {
+    void repositoryListIsValid() {
         KnownFailuresList list = KnownFailuresList.read();
         list.entries().forEach(entry -> System.out.println("KNOWN-RED.txt: " + entry));
         assertEquals(List.of(), list.problems());
     }
 
     @Test
-    void listedTestsThatFailAreNotCountedAsPassed() {
+    void listedFailingTestIsSkipped() {
         TestAbortedException outcome = assertThrows(
-                TestAbortedException.class, () -> extension().run(THIS, "listedTestsThatPassFailTheRun", FAILS));
+                TestAbortedException.class, () -> extension().run(TEST_CLASS, "listedPassingTestFailsRun", FAILS));
         assertTrue(outcome.getMessage().contains("some cause | issue 7"), outcome.getMessage());
         assertEquals(List.of(outcome.getMessage()), log);
     }
 
     @Test
-    void listedTestsThatPassFailTheRun() {
-        assertThrows(AssertionError.class, () -> extension().run(THIS, "listedTestsThatPassFailTheRun", PASSES));
+    void listedPassingTestFailsRun() {
+        assertThrows(AssertionError.class, () -> extension().run(TEST_CLASS, "listedPassingTestFailsRun", PASSES));
     }
 
     @Test
-    void listedParameterizedTestsPassOnlyWhenNoCaseFails() throws Throwable {
-        String method = "listedTestsThatPassFailTheRun";
+    void listedParameterizedTestPassesOnlyIfAllCasesPass() throws Throwable {
+        String method = "listedPassingTestFailsRun";
         KnownFailuresExtension extension = extension();
-        extension.runCase(THIS, method, PASSES);
-        assertThrows(AssertionError.class, () -> extension.failOnPassedTests(THIS));
+        extension.runCase(TEST_CLASS, method, PASSES);
+        assertThrows(AssertionError.class, () -> extension.failOnPassedTests(TEST_CLASS));
         extension.failOnPassedTests("org.other.Test");
-        assertThrows(TestAbortedException.class, () -> extension.runCase(THIS, method, FAILS));
-        extension.runCase(THIS, method, PASSES);
-        extension.failOnPassedTests(THIS);
-        assertThrows(AssertionError.class, () -> extension.runCase(THIS, "otherTestsKeepTheirOutcome", FAILS));
+        assertThrows(TestAbortedException.class, () -> extension.runCase(TEST_CLASS, method, FAILS));
+        extension.runCase(TEST_CLASS, method, PASSES);
+        extension.failOnPassedTests(TEST_CLASS);
+        assertThrows(AssertionError.class, () -> extension.runCase(TEST_CLASS, "unlistedTestKeepsOutcome", FAILS));
     }
 
     @Test
-    void otherTestsKeepTheirOutcome() throws Throwable {
-        extension().run(THIS, "otherTestsKeepTheirOutcome", PASSES);
-        assertThrows(AssertionError.class, () -> extension().run(THIS, "otherTestsKeepTheirOutcome", FAILS));
+    void unlistedTestKeepsOutcome() throws Throwable {
+        extension().run(TEST_CLASS, "unlistedTestKeepsOutcome", PASSES);
+        assertThrows(AssertionError.class, () -> extension().run(TEST_CLASS, "unlistedTestKeepsOutcome", FAILS));
     }
 
     @Test
-    void entriesWithoutATestACauseOrAnIssueAreRejected() {
+    void rejectsInvalidEntries() {
         assertEquals(List.of(), listOf(LISTED_TEST + " | cause | issue 7").problems());
-        assertTrue(listOf(THIS + "#missing | cause | issue 7")
+        assertTrue(listOf(TEST_CLASS + "#missing | cause | issue 7")
                 .problems()
                 .toString()
                 .contains("is no test"));
--- a/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
+++ b/src/test/java/org/spoolline/scheduler/CyclePacerTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void cyclesWidenWithWhatTheLastOneChanged() {
-        pacer.request(Constants.Cycle.CYCLE_FULL_BATCH);
+        pacer.request(Constants.Cycle.CYCLE_FULL_LOAD_WRITES);
         loop.runAll();
         assertEquals(List.of(1_000 + SETTINGS.operator().cycleMaxMs()), cycles);
     }
