--- a/src/main/java/org/spoolline/config/Constants.java
+++ b/src/main/java/org/spoolline/config/Constants.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The constants of the program that are no settings, with the unit and the reason of each. */
+/** The constants of the program that are not settings, each with its unit. */
 public final class Constants {
     private Constants() {}
 
@@ -10,60 +10,60 @@
     public static final class Network {
         private Network() {}
 
-        /** Bytes of a request body at most, by the protocol. */
+        /** Maximum size of a request body, set by the protocol. */
         public static final int MAX_BODY_BYTES = 64 * 1024;
-        /** Response to a body above this limit. */
+        /** Response body for a request body over {@link #MAX_BODY_BYTES}. */
         public static final byte[] BODY_TOO_LARGE = "{\"error\":\"body over 64 KiB\"}".getBytes(StandardCharsets.UTF_8);
-        /** Bytes read from a response at once: most responses fit, and the buffer is short-lived. */
+        /** Initial buffer for a body of unknown length: most responses fit, and the buffer is short-lived. */
         public static final int READ_CHUNK_BYTES = 4096;
-        /** Bytes of a pooled network buffer: a heartbeat fits, and a thousand connections stay affordable. */
+        /** Size of a pooled network buffer: holds a heartbeat and limits the memory of a thousand connections. */
         public static final int BUFFER_BYTES = 4096;
-        /** Buffers kept in the pool: limits idle memory to 1 MiB. */
+        /** Maximum number of pooled buffers, which limits idle memory to 1 MiB. */
         public static final int BUFFER_POOL_SIZE = 256;
-        /** Ms after which a connection without requests is closed: machines that crashed never close theirs. */
+        /** Idle time in ms after which the server closes a connection: crashed machines never close theirs. */
         public static final int IDLE_CONNECTION_MS = 60_000;
-        /** Sockets of the process per idle outbound connection that is kept open. */
+        /** Sockets in the process quota for each idle outbound connection that is kept open. */
         public static final int SOCKETS_PER_IDLE_CONNECTION = 10;
-        /** Idle connections kept open in any case: to the key-value store, the cloud and the peers. */
+        /** Idle connections kept open under any quota: to the key-value store, the cloud and the peers. */
         public static final int IDLE_CONNECTIONS_MIN = 16;
-        /** Ms at most for which a timeout that fires late waits for a response that arrived in time. */
+        /** Maximum extension in ms of a timeout that fires late, to read a response that arrived in time. */
         public static final long LATE_GRACE_MS = 2_000;
-        /** Tries to listen on an address that a process that has just ended may still hold. */
+        /** Attempts to bind an address that a terminated process may still hold. */
         public static final int BIND_TRIES = 8;
-        /** Ms between these tries. */
+        /** Delay in ms between two bind attempts. */
         public static final long BIND_RETRY_MS = 250;
     }
 
-    /** The process as a whole: exit codes, resources, start. */
+    /** Exit codes, resources and startup of the process. */
     public static final class Process {
         private Process() {}
 
-        /** Exit code after an {@link Error}: the same as the virtual machine's own with ExitOnOutOfMemoryError. */
+        /** Exit code after an {@link Error}: the same that the JVM uses with ExitOnOutOfMemoryError. */
         public static final int EXIT_ERROR = 3;
         /**
-         * MB of a process with a full heap, with the options of deploy/service.toml; half of it was seen at 1,500
-         * machines.
+         * Memory in MB of a process with a full heap and the JVM options of deploy/service.toml. With 1,500 machines a
+         * process takes half of it.
          */
         public static final int FULL_HEAP_PROCESS_MB = 200;
-        /** Sockets below which too few are left for workers and users, beside the store, the cloud and the peers. */
+        /** Minimum socket quota: serves workers and users beside the store, the cloud and the peers. */
         public static final int SOCKETS_NEEDED = 100;
-        /** Ms that a node waits at most to learn who leads before it listens: more than an election takes. */
+        /** Maximum wait in ms for a known leader before users and workers are served: more than an election takes. */
         public static final long LEADER_DISCOVERY_TIMEOUT_MS = 1_500;
-        /** Heartbeats of the class archive's training run: enough to place, launch, complete and close a job. */
+        /** Heartbeats in the class archive's training run: enough to place, launch, complete and close a job. */
         public static final int TRAINING_HEARTBEATS = 12;
     }
 
-    /** Bounds shared by all calculations of time. */
+    /** Margins and retry delays shared by all components. */
     public static final class Time {
         private Time() {}
 
-        /** Ms taken off every time bound, for the resolution and the lateness of timers. */
+        /** Safety margin in ms on each time bound, for the resolution and the lateness of timers. */
         public static final long MARGIN_MS = 500;
-        /** Relative drift between two monotonic clocks: twice the 0.0005 that the protocol allows. */
+        /** Assumed relative drift between two monotonic clocks: twice the 0.0005 that the protocol allows. */
         public static final double DRIFT = 0.001;
-        /** Ms before a failed request of a periodic task to the key-value store is retried. */
+        /** Delay in ms before a periodic task retries a failed request to the key-value store. */
         public static final long RETRY_MS = 500;
-        /** Ms kept free between the end of the longest sequence of leases and the cancellation bound. */
+        /** Reserve in ms between the latest expiry of a worker's lease and the cancellation bound (cancel_s). */
         public static final long CANCEL_RESERVE_MS = 6_000;
     }
 
@@ -71,24 +71,27 @@
     public static final class Election {
         private Election() {}
 
-        /** Ms of a leadership lease: soon over after a crash, long enough for a process short of CPU time. */
+        /**
+         * Duration in ms of a leadership lease: short, so that a crashed leader is replaced soon, but long enough for a
+         * process with little CPU time to renew it.
+         */
         public static final long LEADERSHIP_MS = 5_000;
-        /** Ms of the shortest leadership lease that can be kept with renewals and margins. */
+        /** Shortest leadership lease in ms that a leader can keep with renewals and margins. */
         public static final long LEADERSHIP_MIN_MS = 1_500;
-        /** Share of a core below which a leadership lease is longer, since the process is late with its renewals. */
+        /** Share of a core below which the leadership lease is extended, since renewals are late. */
         public static final double SLOW_CPU_SHARE = 0.1;
         /**
-         * Times its usual length that a leadership lease has at most: it is as long until a crashed leader is
-         * replaced.
+         * Maximum factor by which the leadership lease is extended: a crashed leader is replaced only once its lease
+         * expires.
          */
         public static final double LEADERSHIP_FACTOR_MAX = 2;
-        /** Renewals within a leadership lease, so that single lost responses do no harm. */
+        /** Renewals per leadership lease, so that a single lost response does not end leadership. */
         public static final int RENEWALS_PER_LEASE = 5;
-        /** Ms up to which a candidate waits at random before it campaigns, so that not all campaign at once. */
+        /** Maximum random delay in ms before a campaign, so that the candidates do not all campaign at once. */
         public static final long CAMPAIGN_JITTER_MS = 300;
-        /** Ms for which a watch on the leader's key stays open. */
+        /** Duration in ms of a watch on the leader key. */
         public static final long LEADER_WATCH_MS = 20_000;
-        /** Ms for which a node that stepped down in favour of a peer does not campaign again. */
+        /** Time in ms for which a node that stepped down in favour of a peer does not campaign. */
         public static final long STEP_DOWN_BACKOFF_MS = 20_000;
     }
 
@@ -96,56 +99,55 @@
     public static final class Store {
         private Store() {}
 
-        /** Ms until a request to the key-value store times out: responses usually take 10 ms, rarely hundreds. */
+        /** Timeout in ms of a request to the key-value store: responses usually take 10 ms, rarely hundreds. */
         public static final long STORE_TIMEOUT_MS = 2_000;
-        /** Ms without a response of the key-value store after which a node counts itself as cut off from it. */
+        /** Time in ms without a response after which a node considers the key-value store unreachable. */
         public static final long STORE_UNREACHABLE_MS = 4_000;
-        /** Ms between two probes of the key-value store by a node that has no other requests. */
+        /** Interval in ms between two probes of the key-value store by a node that sends no other requests. */
         public static final long STORE_PROBE_MS = 1_500;
-        /** Items in a page of a listing: some 500 values of a few hundred bytes stay below the page's 512 KiB. */
+        /** Items per page of a listing: 500 values of a few hundred bytes stay below the page limit of 512 KiB. */
         public static final int LIST_PAGE = 500;
         /**
-         * Ms for which a leader's watch on the jobs stays open: each response proves the leader's view complete as of
-         * its request, and without such proof a leader stops launching within the time of a leadership lease.
+         * Duration in ms of a leader's watch on the jobs. Each response confirms that the leader's view was complete
+         * when the request was sent; without it for the length of a leadership lease, the leader stops launching tasks.
          */
         public static final long JOB_WATCH_MS = 1_000;
-        /** Ms between two watches, so that a burst of changes arrives in one response. */
+        /** Delay in ms between two watches, so that one response returns a burst of changes. */
         public static final long WATCH_PAUSE_MS = 100;
         /** Share of the key-value store's rate limits that the leader may use. */
         public static final double LEADER_REQUEST_SHARE = 0.7;
         /**
-         * Share of these limits that any other node may use. Together with the leader's this is above one: bursts of
-         * submissions rarely coincide with a leader that uses its whole share, and a request that the store rejects
-         * is retried.
+         * Maximum share of these limits for each other node. With the leader's share the sum exceeds 1: submission
+         * bursts rarely coincide with a leader at its limit, and requests that the store rejects are retried.
          */
         public static final double FOLLOWER_REQUEST_SHARE = 0.3;
-        /** Seconds of refill that a rate limiter may be in debt at most. */
+        /** Maximum debt of a rate limiter, in seconds of refill. */
         public static final double RATE_LIMITER_DEBT_S = 2;
-        /** Share of the requests a second that users' requests leave for a leader's scheduling cycles. */
+        /** Share of the request rate that a leader serving users' requests reserves for its scheduling cycles. */
         public static final double LEADER_REQUEST_RESERVE = 0.1;
-        /** Share of the changes a second that a leader's scheduling cycles leave for users' requests. */
+        /** Share of the write rate that a leader's scheduling cycles reserve for users' requests. */
         public static final double USER_WRITE_RESERVE = 0.1;
-        /** Bytes of a transaction at most: a margin below the 64 KiB that the protocol allows. */
+        /** Maximum size of a transaction: the protocol allows 64 KiB, the rest is a margin. */
         public static final int TRANSACTION_BYTES_MAX = 56 * 1024;
-        /** Transactions of a leader in flight at once, so that one slow response does not stop its cycles. */
+        /** Maximum transactions of a leader in flight, so that one slow response does not block its cycles. */
         public static final int TRANSACTIONS_IN_FLIGHT_MAX = 4;
-        /** Bytes of a transaction for one terminal record. */
+        /** Estimated size in a transaction of a terminal record. */
         public static final int TERMINAL_RECORD_BYTES = 512;
-        /** Bytes of a transaction for what surrounds one live value. */
+        /** Estimated overhead in a transaction of a live value. */
         public static final int TRANSACTION_WRITE_OVERHEAD_BYTES = 128;
-        /** Conditions of a transaction per change that it may hold, by the protocol. */
+        /** Conditions that a transaction may hold per write that it may hold, set by the protocol. */
         public static final int CONDITIONS_PER_WRITE = 4;
-        /** Ms after its start before which a node does not write its version: other requests are more urgent. */
+        /** Delay in ms after startup before a node records its version: other requests are more urgent. */
         public static final long VERSION_RECORD_DELAY_MS = 2_000;
     }
 
-    /** Other controllers. */
+    /** Requests to the other controllers. */
     public static final class Peer {
         private Peer() {}
 
-        /** Ms between two status requests to a peer. */
+        /** Interval in ms between two status requests to a peer. */
         public static final long PEER_PING_MS = 2_000;
-        /** Ms until a request to a peer times out: less than their interval. */
+        /** Timeout in ms of a request to a peer: shorter than the interval between status requests. */
         public static final long PEER_TIMEOUT_MS = 1_500;
     }
 
@@ -154,36 +156,32 @@
         private Heartbeat() {}
 
         /**
-         * Times per lease that a worker is sent to look for a new leader while a leader can't tell an outage from
-         * being cut off itself.
+         * Times per lease that the leader sends a worker to look for a new leader, while the leader can't distinguish
+         * an outage of the key-value store from a partition.
          */
         public static final int LEADER_PROBES_PER_LEASE = 4;
-        /**
-         * Consecutive unacknowledged responses after which a machine's downlink counts as unreachable: any network
-         * may lose one.
-         */
+        /** Consecutive unacknowledged responses that make a downlink unreachable: any network may lose one. */
         public static final int UNACKNOWLEDGED_RESPONSES_MAX = 2;
-        /** Bits of a worker's token that count early-heartbeat requests: a million to a worker per leader. */
+        /** Low bits of a worker's token that count early-heartbeat requests: a million per worker and leader. */
         public static final int EARLY_HEARTBEAT_TOKEN_BITS = 20;
-        /** Sockets of the process per early-heartbeat request in flight: a cycle may cause hundreds. */
+        /** Sockets in the process quota for each early-heartbeat request in flight: a cycle may cause hundreds. */
         public static final int SOCKETS_PER_EARLY_HEARTBEAT_REQUEST = 20;
-        /** Early-heartbeat requests that may be in flight in any case. */
+        /** Early-heartbeat requests that may be in flight under any quota. */
         public static final int EARLY_HEARTBEAT_REQUESTS_MIN = 8;
-        /** Ms until an early-heartbeat request times out: the next regular heartbeat takes its place. */
+        /** Timeout in ms of an early-heartbeat request: if it is lost, the next regular heartbeat replaces it. */
         public static final long EARLY_HEARTBEAT_TIMEOUT_MS = 1_000;
         /**
-         * Ms for which the response to a heartbeat that reports ended tasks is held, so that it can carry the next
+         * Time in ms that the response to a heartbeat with ended tasks is held, so that it can include the next
          * launches.
          */
         public static final long RESPONSE_HOLD_MS = 600;
-        /** Ms for which responses wait for a new leader to have read the jobs: workers time out after 4 s. */
+        /** Maximum hold time in ms until a new leader has read the jobs: workers time out after 4 s. */
         public static final long RESPONSE_HOLD_UNTIL_LOADED_MS = 2_500;
-        /** Orders in one response to a heartbeat: keeps its single line well below 64 KiB. */
+        /** Maximum number of orders in a heartbeat response, which keeps its single line well below 64 KiB. */
         public static final int MAX_ORDERS = 400;
         /**
-         * Heartbeat intervals since its last heartbeat after which a machine gets no new work: one heartbeat was
-         * missed and the next is late, though heartbeats come up to a quarter of an interval late, and more under
-         * disturbances.
+         * Heartbeat intervals without a heartbeat after which a machine gets no new work: one was missed and the next
+         * is late. Heartbeats may be late by a quarter of an interval, and by more under disturbances.
          */
         public static final double HEARTBEATS_OVERDUE = 2.7;
         /**
@@ -191,43 +189,43 @@
          * that workers reach.
          */
         public static final double HEARTBEATS_MISSING = 2.4;
-        /** Different jobs with errors on a machine after which it is drained and returned. */
+        /** Number of different jobs with failed tasks on a machine after which it is drained and released. */
         public static final int DRAIN_FAILED_JOBS = 2;
     }
 
-    /** Scheduling cycles and the writes that they lead to. */
+    /** Scheduling cycles and the writes that they produce. */
     public static final class Cycle {
         private Cycle() {}
 
-        /** Ms between scheduling cycles at low load. */
+        /** Interval in ms between scheduling cycles at low load. */
         public static final long CYCLE_MIN_MS = 40;
-        /** Ms between scheduling cycles at high load. */
+        /** Interval in ms between scheduling cycles at full load. */
         public static final long CYCLE_MAX_MS = 400;
-        /** Changed jobs in a cycle at which the interval has grown to its maximum. */
+        /** Writes of a cycle that count as full load, at which the interval reaches its maximum. */
         public static final int CYCLE_FULL_LOAD_WRITES = 24;
-        /** Ms between cycles without any event: timeouts, as of heartbeats and idle machines, make no event. */
+        /** Interval in ms of cycles without an event: timeouts, as of heartbeats and idle machines, trigger none. */
         public static final long CYCLE_IDLE_MS = 1_000;
-        /** Ms by which a scheduling cycle may begin late before the event loop counts as overloaded. */
+        /** Delay in ms of a scheduling cycle above which the event loop counts as overloaded. */
         public static final long CYCLE_LATE_MS = 100;
         /**
-         * Ms that completions of single tasks of a job array may wait when the store's rate limit is nearly used up,
-         * so that they share one write.
+         * Maximum time in ms for which task completions of a job array are batched into one write while the store's
+         * rate limit is nearly exhausted.
          */
         public static final long COMPLETIONS_WAIT_MS = 1_000;
-        /** Ms that a change may wait for the rate limit before it goes first, whatever it is. */
+        /** Waiting time in ms after which a write gets precedence over all other kinds of writes. */
         public static final long WRITE_STARVATION_MS = 2_000;
         /**
-         * Ms for which a value that the key-value store rejected is not sent again: it is accepted only once it has
-         * shrunk.
+         * Backoff in ms before a value that the key-value store rejected as too large is sent again: the store accepts
+         * it only once it has shrunk.
          */
         public static final long OVERSIZED_VALUE_BACKOFF_MS = 5_000;
-        /** Ms between two cycles that reconcile every attempt: a heartbeat timeout marks no attempt as changed. */
+        /** Interval in ms between cycles that reconcile all attempts: heartbeat timeouts mark none as changed. */
         public static final long FULL_RECONCILE_MS = 2_000;
-        /** Ms for which a job whose value is full gets no placements: by then some tasks will have completed. */
+        /** Time in ms that a job with a full value gets no placements, until some tasks have completed. */
         public static final long VALUE_FULL_BACKOFF_MS = 2_000;
         /**
-         * Ms for which a job is not placed again after a machine rejected a launch, or after the task of a service
-         * ended: it would only end the same way again at once.
+         * Time in ms that a job gets no placements after a machine rejected a launch or a service's task ended: an
+         * immediate retry would end the same way.
          */
         public static final long LAUNCH_REJECTED_BACKOFF_MS = 2_000;
     }
@@ -236,46 +234,45 @@
     public static final class Placement {
         private Placement() {}
 
-        /** Amounts closer than this are equal: they are decimal numbers that were added and subtracted many times. */
+        /** Difference below which two amounts are equal: amounts are floating-point sums with rounding errors. */
         public static final double EPSILON = 1e-6;
-        /** Seconds of an image fetch below which image locality does not matter. */
+        /** Image fetch time in s below which image locality is ignored. */
         public static final double SHORT_FETCH_S = 6;
-        /** Share of gang_wait_s that the image fetch of a late member may take while the others wait. */
+        /** Share of gang_wait_s for a late gang member's image fetch while the other members wait. */
         public static final double GANG_COMPLETION_FETCH_SHARE = 0.5;
-        /** Ms after which a job without any started task comes first: the largest are to start within 240 s. */
+        /** Waiting time in ms after which an unstarted job is planned first: the largest have to start within 240 s. */
         public static final long STARVATION_MS = 90_000;
         /**
-         * Ms of age up to which capacity is accumulated for a gang: beyond that, other jobs have waited for it long
-         * enough.
+         * Waiting time in ms of a gang after which no more capacity is accumulated for it: by then other jobs have been
+         * delayed long enough.
          */
         public static final long CAPACITY_ACCUMULATION_UNTIL_MS = 300_000;
         /**
-         * Seconds of work that the loss of a machine may cost for the work still to be placed on spot machines first:
-         * what any start costs in launch and fetch.
+         * Expected loss of work in s, if the cloud reclaims the machine, up to which a task prefers spot machines:
+         * about the cost of any start in launch and fetch.
          */
         public static final double SPOT_LOSS_S = 15;
         /**
-         * Times its save time that a task must have run since its last checkpoint for another to be worth it when it
-         * is preempted: saving takes the time of the task and of the one that waits for the capacity.
+         * Minimum unsaved run time of a preempted task for a checkpoint to be worth it, as a multiple of its save time:
+         * saving delays the task and the one that waits for the capacity.
          */
         public static final double CHECKPOINT_MIN_UNSAVED_FACTOR = 2;
-        /** Ms after which a reservation of machines ends if the job has still not started there. */
+        /** Time in ms after which a reservation expires if the job has not started on its machines. */
         public static final long RESERVATION_MS = 20_000;
         /**
-         * Ms of submissions for which idle machines are kept beyond their usual time: capacity for as many cores as
-         * jobs have asked for lately, about the time of a boot. When a fleet empties, hundreds of idle machines are
-         * not needed.
+         * Period in ms, about a boot time, of the recent demand for cores. Idle machines are kept longer only for that
+         * many cores: when a fleet drains, hundreds of idle machines are not needed.
          */
         public static final long RECENT_DEMAND_MS = 30_000;
-        /** Ms between two consolidations: the tasks of the one before have moved by then. */
+        /** Interval in ms between consolidations: by then the tasks of the previous one have moved. */
         public static final long CONSOLIDATION_INTERVAL_MS = 10_000;
-        /** Machines tried in one consolidation: limits the work of a cycle. */
+        /** Maximum number of machines tried per consolidation, which limits the work of a cycle. */
         public static final int CONSOLIDATION_CANDIDATES_MAX = 50;
-        /** Share of a machine's cores in use up to which it may be drained for consolidation. */
+        /** Core utilization of a machine up to which it may be drained for consolidation. */
         public static final double CONSOLIDATION_UTILIZATION_MAX = 0.5;
-        /** Seconds that a task must have run to be moved: one stopped sooner has only cost its launch. */
+        /** Minimum run time in s of a task before it may be moved: stopping it earlier wastes its launch. */
         public static final double CONSOLIDATION_MIN_RUN_S = 30;
-        /** Seconds that a task must be expected to run on for to be moved: a move costs some ten. */
+        /** Minimum expected remaining run time in s of a task to be moved: a move costs about 10 s. */
         public static final double CONSOLIDATION_MIN_REMAINING_S = 20;
     }
 
@@ -283,36 +280,36 @@
     public static final class Job {
         private Job() {}
 
-        /** Odd factor that spreads hashes of similar names over the whole range: 2^32 by the golden ratio. */
+        /** Odd factor that spreads hashes of similar names over the whole range: 2^32 divided by the golden ratio. */
         public static final int HASH_SPREAD = 0x9E3779B1;
-        /** Attempts that a job's table can hold before it grows: most jobs are small. */
+        /** Initial capacity of a job's attempt table: most jobs are small. */
         public static final int INITIAL_ATTEMPTS = 8;
         /** Version of the stored pipeline value, by which later versions can recognize and convert it. */
         public static final int PIPELINE_VERSION = 2;
-        /** The version before, which is still read: its attempts took three times the space. */
+        /** Previous version, which is still read: its attempts take three times the space. */
         public static final int PIPELINE_VERSION_LEGACY = 1;
         /**
-         * Version of the value of a job that has dependencies, or is cancelled with attempts that are not listed: an
-         * older controller, which would start its tasks too early, can't read it.
+         * Version of the value of a job that has dependencies, or is cancelled with unlisted attempts. Older
+         * controllers can't read it; they would start the tasks too early.
          */
         public static final int PIPELINE_VERSION_DEPENDENT = 3;
-        /** Tasks of a job at most, by the protocol. */
+        /** Maximum number of tasks of a job, set by the protocol. */
         public static final int MAX_TASKS = 100_000;
-        /** Characters of a name in a submission at most: keeps the stored value well below its limit. */
+        /** Maximum characters of a name in a submission: keeps the stored value well below its limit. */
         public static final int MAX_NAME = 200;
-        /** Tasks past the first unfinished one that may be active: limits the size of the stored join. */
+        /** Tasks past the first unfinished one that may be active, which limits the size of the stored join. */
         public static final int JOIN_WINDOW = 8192;
-        /** Share of the value limit that the value of a new job may fill: attempts and completions need the rest. */
+        /** Share of the value limit that a new job's value may fill: attempts and completions need the rest. */
         public static final double DESCRIPTION_SHARE = 0.5;
-        /** Share of the value limit up to which new placements may fill a value; completions need the rest. */
+        /** Share of the value limit up to which new placements may fill a value: completions need the rest. */
         public static final double VALUE_FILL = 0.85;
-        /** Bytes of a value that new placements leave for its cancellation and for what failures add to it. */
+        /** Bytes of a value that new placements leave free for a cancellation and for the records of failures. */
         public static final int VALUE_RESERVE_BYTES = 200;
-        /** Ms of the backoff after a task's first failure; it doubles with each further one. */
+        /** Backoff in ms after a job's first task failure; doubles with each further one. */
         public static final long FAILURE_BACKOFF_MS = 1_000;
-        /** Doublings after which the backoff stops growing. */
+        /** Number of doublings after which the backoff stays constant. */
         public static final int FAILURE_BACKOFF_DOUBLINGS = 5;
-        /** Machines remembered per job as ones to avoid. */
+        /** Maximum number of machines to avoid that are stored per job. */
         public static final int AVOIDED_MACHINES_MAX = 8;
     }
 
@@ -320,17 +317,23 @@
     public static final class Api {
         private Api() {}
 
-        /** Part of cancel_s for which a read that a job is not cancelled holds: the rest covers late responses. */
+        /**
+         * Divisor of cancel_s that gives the time for which a job read as not cancelled may be cached: the rest of
+         * cancel_s covers late responses.
+         */
         public static final int ANCESTOR_CACHE_FRACTION = 3;
-        /** Tries of a user's cancellation against concurrent writes before the user is asked to retry. */
+        /** Attempts to commit a user's cancellation against concurrent writes before the user is told to retry. */
         public static final int CANCEL_TRIES = 5;
-        /** Jobs remembered by a node: terminal states, which then cost no request, and the times of polls. */
+        /** Cached jobs of a node: terminal states, which then need no request, and times of status polls. */
         public static final int JOB_CACHE_SIZE = 4_096;
-        /** Ms for which an answered job leaves the last requests to others: half of the 75 s that a poll may wait. */
+        /**
+         * Time in ms after a status response in which other jobs' polls get the last requests under the rate limit:
+         * half of the 75 s that a poll may wait.
+         */
         public static final long STATUS_LOW_PRIORITY_MS = 40_000;
-        /** Ms for which polls are collected that one request can answer, while few requests are left. */
+        /** Time in ms for which status polls are batched into one request while few requests are left. */
         public static final long STATUS_BATCH_MS = 40;
-        /** Seconds of Retry-After when a request can't be served now: rate limits refill within one. */
+        /** Seconds of Retry-After when a request can't be served now: the rate limits refill within one. */
         public static final int RETRY_AFTER_S = 1;
     }
 
@@ -338,29 +341,29 @@
     public static final class Autoscaling {
         private Autoscaling() {}
 
-        /** Ms between two machine lists at least: the list lags, so that more of them would tell nothing more. */
+        /** Minimum interval in ms between machine lists: the list lags, so more frequent reads add nothing. */
         public static final long MACHINE_LIST_INTERVAL_MS = 3_000;
-        /** Ms until a request to the cloud times out: a deletion ends the machines before it is answered. */
+        /** Timeout in ms of a cloud request: a deletion is answered only once its machines are terminated. */
         public static final long CLOUD_TIMEOUT_MS = 8_000;
-        /** Ms for which a combination of type, zone and kind is not requested again after the cloud rejected it. */
+        /** Backoff in ms for a combination of type, zone and kind that the cloud rejected. */
         public static final long OFFER_BACKOFF_MS = 8_000;
-        /** Machines of one scale-out request at most, by the protocol. */
+        /** Maximum number of machines in a scale-out request, set by the protocol. */
         public static final int SCALE_OUT_BATCH_MAX = 50;
-        /** Machines of one scale-in request at most, by the protocol. */
+        /** Maximum number of machines in a scale-in request, set by the protocol. */
         public static final int SCALE_IN_BATCH_MAX = 100;
-        /** Ms an idle machine is kept: long enough for work that was just released or accepted to be placed on it. */
+        /** Time in ms that an idle machine is kept: enough to place work that was just released or accepted. */
         public static final long IDLE_MS = 6_000;
-        /** Ms an idle spot machine is kept: it costs a fraction, and the cloud may have no other later. */
+        /** Time in ms that an idle spot machine is kept: it is cheap, and the cloud may have no other later. */
         public static final long IDLE_SPOT_MS = 20_000;
-        /** Ms that every machine is charged for at least: returning a younger one saves nothing. */
+        /** Minimum time in ms that the cloud charges for a machine: releasing a younger one saves nothing. */
         public static final long MIN_CHARGE_MS = 60_000;
-        /** Times its nominal boot time after which a machine that never sent a heartbeat is returned. */
+        /** Multiple of its nominal boot time after which a machine that has sent no heartbeat is released. */
         public static final double BOOT_TIMEOUT_FACTOR = 4.0;
-        /** Ms since its last heartbeat after which a machine that should be running is returned. */
+        /** Time in ms without a heartbeat after which a machine that should be running is released. */
         public static final long MACHINE_LOST_MS = 60_000;
-        /** Ms between two reads of the machine types: spot prices change slowly. */
+        /** Interval in ms between two reads of the machine types: spot prices change slowly. */
         public static final long MACHINE_TYPES_REFRESH_MS = 60_000;
-        /** Share of the cloud's rate limit for the leader; the others need the rest when they start. */
+        /** Share of the cloud's rate limit for the leader: the other nodes need the rest when they start. */
         public static final double CLOUD_LEADER_SHARE = 0.8;
     }
 
@@ -370,15 +373,15 @@
 
         /** Significant digits of recorded latencies. */
         public static final int LATENCY_DIGITS = 2;
-        /** Ms between two log lines on the key-value store's latency. */
+        /** Interval in ms between two log lines on the key-value store's latency. */
         public static final long LATENCY_LOG_MS = 60_000;
-        /** Ms between two log lines of the counters: a line a minute costs nothing on the smallest share of a core. */
+        /** Interval in ms between log lines of the counters: cheap even with the smallest share of a core. */
         public static final long COUNTERS_LOG_MS = 60_000;
-        /** Ms between two log lines on jobs that can't be read. */
+        /** Minimum interval in ms between two log lines on failed reads of the jobs. */
         public static final long READ_FAILURE_LOG_MS = 5_000;
-        /** Ms without a read of the jobs that are logged once they end: twice the time between two usual reads. */
+        /** Time without a read of the jobs, in ms, that is logged at info: twice the usual interval. */
         public static final long READ_GAP_LOG_MS = 2_500;
-        /** Ms without a placement after which a leader with waiting jobs logs why: above a usual boot and fetch. */
+        /** Time in ms without a placement after which waiting jobs are logged: above a usual boot and image fetch. */
         public static final long STALL_MS = 30_000;
     }
 }
--- a/src/main/java/org/spoolline/config/OperatorSettings.java
+++ b/src/main/java/org/spoolline/config/OperatorSettings.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 
 /**
- * What operators may tune beyond the platform's file, in an XML file of their own. None of it affects safety: these are
- * times of waiting, not of leases.
+ * Settings that operators may change in an XML file of their own, in addition to the platform's settings file. None of
+ * them affects safety: they are waiting times and no lease durations.
  *
- * @param idleMs      ms for which an idle on-demand machine is kept
- * @param idleSpotMs  ms for which an idle spot machine is kept
- * @param cycleMinMs  ms between scheduling cycles at low load
- * @param cycleMaxMs  ms between scheduling cycles at high load
+ * @param idleMs      time in ms for which an idle on-demand machine is kept
+ * @param idleSpotMs  time in ms for which an idle spot machine is kept
+ * @param cycleMinMs  interval in ms between scheduling cycles at low load
+ * @param cycleMaxMs  interval in ms between scheduling cycles at full load
  */
 public record OperatorSettings(long idleMs, long idleSpotMs, long cycleMinMs, long cycleMaxMs) {
-    /** The settings of a node whose operators tune nothing. */
+    /** The settings of a node without an operator settings file. */
     public static final OperatorSettings DEFAULTS = new OperatorSettings(
             Constants.Autoscaling.IDLE_MS,
             Constants.Autoscaling.IDLE_SPOT_MS,
             Constants.Cycle.CYCLE_MIN_MS,
             Constants.Cycle.CYCLE_MAX_MS);
 
-    /** Reads a file; the message of an exception names the file or the element. */
+    /** Reads an operator settings file; the message of the exception names the file or the invalid element. */
     public static OperatorSettings read(Path file) throws SettingsException {
         try {
             return parse(Files.readString(file));
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Reads the content of a file; an element that is missing has its default. */
+    /** Parses the content of an operator settings file; a missing element gets its default. */
     public static OperatorSettings parse(String xml) throws SettingsException {
         JsonNode root;
         try {
--- a/src/main/java/org/spoolline/config/Settings.java
+++ b/src/main/java/org/spoolline/config/Settings.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 
 /**
- * The checked settings of one node, from the platform's file.
+ * The validated settings of one node, from the platform's settings file.
  *
  * @param node            name of this node, unique among the controllers
  * @param zone            zone in which the node runs; empty when the file names none
  * @param serveOn         host:port on which the node serves users and workers
- * @param internalAddress host:port on which it serves the other controllers
+ * @param internalAddress host:port on which the node serves the other controllers
  * @param peers           the other controllers
  * @param cloudAddress    host:port of the cloud
  * @param storeAddress    host:port of the key-value store
- * @param controllers     number of controllers, this node among them
- * @param teams           teams by name, in the order of the file
+ * @param controllers     number of controllers, including this node
+ * @param teams           teams by name, in file order
  * @param objectives      service-level objectives
- * @param workers         times of the workers
+ * @param workers         timing of the workers
  * @param storeLimits     limits of the key-value store
  * @param cloud           limits of the cloud
  * @param quota           limits of this process
- * @param operator        what operators tune in a file of their own
+ * @param operator        settings from the optional operator settings file
  */
 public record Settings(
         String node,
@@ -41,14 +41,14 @@
         OperatorSettings operator) {
 
     /**
-     * Another controller.
+     * Another controller of the cluster.
      *
      * @param address host:port of its internal address
      */
     public record Peer(String node, String address) {}
 
     /**
-     * A team's quota: what it is guaranteed, and the most that it may use.
+     * A team's quota: its guaranteed resources and its limits.
      *
      * @param guaranteedCores        cores, 0 or more
      * @param maxCores               cores, over 0, or {@link #UNLIMITED}
@@ -61,48 +61,48 @@
             double maxCores,
             double guaranteedAccelerators,
             double maxAccelerators) {
-        /** The limit of a team that may use whatever others leave. */
+        /** The limit of a team that may use all resources that other teams leave free. */
         public static final double UNLIMITED = Double.POSITIVE_INFINITY;
     }
 
     /**
-     * A service-level objective for a class of jobs. Kinds differ in their fields, and kinds may be added.
+     * A service-level objective for a class of jobs. The fields depend on the kind; later versions may add kinds.
      *
-     * @param kind     what is measured
-     * @param jobClass null for all classes, as for the quota guarantee
-     * @param withinS  seconds in which it is to be reached; null for a kind without, as for users' deadlines
-     * @param share    share of the jobs or tasks that are to reach it, 0 to 1; null for a kind without
+     * @param kind     kind of the objective, which defines what is measured
+     * @param jobClass job class; null for all classes, as for the quota guarantee
+     * @param withinS  time limit in seconds; null for a kind without one, such as users' deadlines
+     * @param share    required share of the jobs or tasks, 0 to 1; null for a kind without one
      */
     public record Objective(String kind, String jobClass, Double withinS, Double share) {}
 
     /**
-     * Times of the workers.
+     * Timing of the workers.
      *
-     * @param heartbeatMs ms between two heartbeats of a worker
-     * @param leaseMs     ms without a response after which a worker has ended all of its tasks
-     * @param gangWaitMs  ms for which the first tasks of a gang wait for the others to start
-     * @param gangPeerMs  ms in which the tasks of a gang notice that one of them was lost
-     * @param cancelMs    ms after a confirmed cancellation by which no task of the job may run
+     * @param heartbeatMs interval in ms between two heartbeats of a worker
+     * @param leaseMs     time in ms without a response after which a worker has terminated all its tasks
+     * @param gangWaitMs  time in ms for which the first tasks of a gang wait for the others to start
+     * @param gangPeerMs  time in ms within which the tasks of a gang detect the loss of one of them
+     * @param cancelMs    time in ms after a confirmed cancellation after which no task of the job may run
      */
     public record Workers(long heartbeatMs, long leaseMs, long gangWaitMs, long gangPeerMs, long cancelMs) {}
 
     /**
      * Limits of the key-value store.
      *
-     * @param requestsPerS requests a second of all controllers together
-     * @param writesPerS   changes a second of all controllers together
-     * @param valueBytes   bytes of a value
-     * @param txnOps       changes in a transaction
-     * @param announced    limits that will hold from some moment on, without notice; null when none are announced
+     * @param requestsPerS maximum requests per second of all controllers together
+     * @param writesPerS   maximum writes per second of all controllers together
+     * @param valueBytes   maximum bytes of a value
+     * @param txnOps       maximum writes in a transaction
+     * @param announced    limits that the store will enforce from an unknown time on; null when none are announced
      */
     public record StoreLimits(
             double requestsPerS, double writesPerS, int valueBytes, int txnOps, StoreLimits announced) {
-        /** Limits that hold now and go on to hold once the announced ones do: the lower of each. */
+        /** The lower of each current and announced limit: valid before and after the store enforces the announced ones. */
         public StoreLimits lowestOfCurrentAndAnnounced() {
             return announced == null ? this : lowest(announced);
         }
 
-        /** The lower of each limit, with none announced. */
+        /** The lower of each limit, without announced limits. */
         StoreLimits lowest(StoreLimits other) {
             return new StoreLimits(
                     Math.min(requestsPerS, other.requestsPerS),
@@ -116,21 +116,21 @@
     /**
      * Limits of the cloud.
      *
-     * @param requestsPerS requests a second of all controllers together
-     * @param listLagMs    ms by which its list of machines may be out of date
+     * @param requestsPerS maximum requests per second of all controllers together
+     * @param listLagMs    maximum age in ms of the contents of the machine list
      */
     public record Cloud(double requestsPerS, long listLagMs) {}
 
     /**
-     * Limits of this process.
+     * Resource limits of this process.
      *
-     * @param cpuShare share of a core
-     * @param memoryMb MB of memory
-     * @param sockets  open connections, in and out
+     * @param cpuShare share of a CPU core
+     * @param memoryMb memory in MB
+     * @param sockets  maximum open connections, inbound and outbound
      */
     public record Quota(double cpuShare, double memoryMb, int sockets) {}
 
-    /** The same settings but for those of the operators. */
+    /** A copy with the given operator settings. */
     public Settings with(OperatorSettings operatorSettings) {
         return new Settings(
                 node,
@@ -151,57 +151,62 @@
     }
 
     /**
-     * Ms of a leadership lease: longer than usual on a small share of a core, shorter where the cancellation bound requires
-     * it. A process that had just started on 4% of a core was late with its renewals for longer than 5 s, so that after each
-     * restart one leader replaced the other.
+     * Duration in ms of a leadership lease. It is extended on a small share of a core: a process that just started on 4% of
+     * a core renews its lease more than 5 s late, so that leadership changes after each restart. It is shortened where the
+     * cancellation bound requires that.
      */
     public long leadershipMs() {
-        double times = Math.max(
+        double extensionFactor = Math.max(
                 1,
                 Math.min(
                         Constants.Election.LEADERSHIP_FACTOR_MAX,
                         Constants.Election.SLOW_CPU_SHARE / quota.cpuShare()));
-        return Math.min((long) (Constants.Election.LEADERSHIP_MS * times), (workers.cancelMs() - leaseExpiryMs()) / 2);
+        return Math.min(
+                (long) (Constants.Election.LEADERSHIP_MS * extensionFactor),
+                (workers.cancelMs() - leaseExpiryMs()) / 2);
     }
 
     /**
-     * When a leadership lease ends that was renewed by a request sent at {@code sentAt}, in ms of monotonic time; the same
-     * for a view of the jobs that was read by such a request. Earlier than the lease itself by drift and margin.
+     * Monotonic time in ms until which a node may rely on a leadership lease that was renewed by a request sent at
+     * {@code sentAt}, or on a view of the jobs read by such a request. Clock drift and margin are deducted from the lease.
      */
     public long leadershipEndsAt(long sentAt) {
         return sentAt + (long) (leadershipMs() * (1 - Constants.Time.DRIFT)) - Constants.Time.MARGIN_MS;
     }
 
-    /** Idle connections that are kept open at most: a share of the sockets, since the workers' connections need most. */
+    /** Maximum number of idle connections that are kept open: a small share, since workers need most of the sockets. */
     public int idleConnections() {
         return Math.max(
                 Constants.Network.IDLE_CONNECTIONS_MIN,
                 quota.sockets() / Constants.Network.SOCKETS_PER_IDLE_CONNECTION);
     }
 
-    /** Early-heartbeat requests in flight at once: each takes a socket, until its timeout if the machine doesn't answer. */
+    /** Maximum number of early-heartbeat requests in flight: each occupies a socket until its response or timeout. */
     public int maxEarlyHeartbeatRequests() {
         return Math.max(
                 Constants.Heartbeat.EARLY_HEARTBEAT_REQUESTS_MIN,
                 quota.sockets() / Constants.Heartbeat.SOCKETS_PER_EARLY_HEARTBEAT_REQUEST);
     }
 
-    /** Ms since its last heartbeat after which a machine gets no new work. */
+    /** Time in ms without a heartbeat after which a machine gets no new work. */
     public long heartbeatOverdueMs() {
         return (long) (workers.heartbeatMs() * Constants.Heartbeat.HEARTBEATS_OVERDUE);
     }
 
-    /** Ms without a heartbeat of any machine after which a node counts as one that workers don't reach. */
+    /** Time in ms without a heartbeat of any machine after which a node counts as unreachable for workers. */
     public long heartbeatsMissingMs() {
         return (long) (workers.heartbeatMs() * Constants.Heartbeat.HEARTBEATS_MISSING);
     }
 
-    /** Connections that may wait to be accepted: all that the sockets allow, since all workers may connect at once. */
+    /** Maximum number of pending inbound connections: the socket quota, since all workers may connect at once. */
     public int backlog() {
         return Math.max(Constants.Network.IDLE_CONNECTIONS_MIN, quota.sockets());
     }
 
-    /** Limits of the process that are too low, one text each; a node with such limits serves as far as it can. */
+    /**
+     * Describes each process limit that is too low to serve in full; empty if there is none. A node with such limits still
+     * starts and serves as many requests as they allow.
+     */
     public List<String> insufficientLimits() {
         List<String> problems = new ArrayList<>();
         if (quota.memoryMb() < Constants.Process.FULL_HEAP_PROCESS_MB) {
@@ -215,28 +220,29 @@
         return problems;
     }
 
-    /** Ms between renewals of the leadership lease. */
+    /** Interval in ms between renewals of the leadership lease. */
     public long renewMs() {
         return Math.max(1, leadershipMs() / Constants.Election.RENEWALS_PER_LEASE);
     }
 
     /**
-     * Ms after the end of its leadership for which a leader that can't reach the key-value store may go on answering workers,
-     * so that their leases don't expire. Leadership, this time and the workers' lease together end before {@code cancelMs}.
+     * Time in ms after the end of its leadership for which a leader that can't reach the key-value store may still respond
+     * to workers, so that their leases don't expire. The sum of the leadership lease, this time and the workers' lease is
+     * less than {@code cancelMs}.
      */
     public long keepAliveMs() {
         return Math.max(0, workers.cancelMs() - workers.leaseMs() - leadershipMs() - Constants.Time.CANCEL_RESERVE_MS);
     }
 
     /**
-     * Ms for which a node may rely on a job's being not cancelled when it was last read. A response about a job that depends
-     * on it then is well within {@code cancelMs} of any cancellation that it misses.
+     * Time in ms for which a node may cache that a job is not cancelled. A status response about a dependent job may thus miss
+     * a cancellation, but only one that was committed well within {@code cancelMs} before.
      */
     public long ancestorCacheMs() {
         return workers.cancelMs() / Constants.Api.ANCESTOR_CACHE_FRACTION;
     }
 
-    /** Ms after its last response after which a worker has ended all of its tasks, with drift and margin. */
+    /** Time in ms after its last response by which a worker has terminated all its tasks, including drift and margin. */
     public long leaseExpiryMs() {
         return (long) (workers.leaseMs() * (1 + Constants.Time.DRIFT)) + Constants.Time.MARGIN_MS;
     }
--- a/src/main/java/org/spoolline/config/SettingsFile.java
+++ b/src/main/java/org/spoolline/config/SettingsFile.java
@@ -15,17 +15,17 @@
 import org.spoolline.codec.TreeCodec;
 
 /**
- * Reads and checks the platform's TOML file. A file is rejected only for a field without which a node can't serve or can't
- * keep the protocol: its name and addresses, its peers, the services, the workers' lease, the cancellation bound and the
- * teams' limits. Any other field that is missing or unusable is replaced by a default that allows no more than any usual
- * setting, and reported. Unknown fields are ignored, and reported.
+ * Reads and validates the platform's TOML file. A file is rejected only if a field is missing or invalid without which a
+ * node can't serve or can't comply with the protocol: its name and addresses, its peers, the services, the workers' lease,
+ * the cancellation bound and the teams' limits. Any other field that is missing or invalid is reported and replaced by a
+ * default that is at least as conservative as any usual setting. Unknown fields are reported and ignored.
  */
 public final class SettingsFile {
     private static final Set<String> ROOT_FIELDS =
             Set.of("node_name", "domain", "serve_on", "internal_addr", "seeds", "services", "cluster");
     private static final Set<String> CLUSTER_FIELDS =
             Set.of("count", "zones", "time_bound_ms", "teams", "objectives", "workers", "state", "cloud", "quota");
-    /** The table of the limits that are announced. */
+    /** Name of the table with the announced limits. */
     private static final String ANNOUNCED_LIMITS = "next";
 
     private static final double BYTES_PER_KB = 1024;
@@ -41,22 +41,22 @@
     private final SettingsTable root;
 
     /**
-     * The settings as a node uses them, and in what they differ from the file.
+     * The settings that a node uses, and the problems found in the file.
      *
-     * @param replacements  fields that were missing or unusable
+     * @param replacements  fields that were missing or invalid and are replaced by defaults
      * @param unknownFields names of fields that this version does not know
      */
     public record Loaded(Settings settings, List<Replacement> replacements, List<String> unknownFields) {}
 
     /**
-     * A field that was missing or unusable, so that a default is used.
+     * A field that was missing or invalid and is replaced by a default.
      *
-     * @param field name with the tables that it is in
-     * @param found what the file has, shortened
-     * @param used  the default; null where the field then counts as left out
+     * @param field name of the field, qualified by its tables
+     * @param found value in the file, truncated
+     * @param used  the default; null if the field then counts as missing
      */
     public record Replacement(String field, String found, Object used) {
-        /** The line that {@code --check} prints. */
+        /** Returns the line that {@code --check} prints. */
         @Override
         public String toString() {
             return "settings field " + field + " is " + found + ", " + used + " is used";
@@ -67,7 +67,7 @@
         root = SettingsTable.root(file, findings);
     }
 
-    /** Reads a file; the exception's message names all rejected fields, on one line. */
+    /** Reads a settings file; the message of the exception names all rejected fields on one line. */
     public static Loaded load(Path file) throws SettingsException {
         try {
             return loadText(Files.readString(file));
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Reads the content of a file, see {@link #load(Path)}. */
+    /** Parses the content of a settings file, see {@link #load(Path)}. */
     public static Loaded loadText(String toml) throws SettingsException {
         JsonNode file;
         try {
@@ -91,7 +91,7 @@
         return new SettingsFile(file).load();
     }
 
-    /** The settings that a node uses, without what was found to be wrong with the file. */
+    /** Parses the content of a settings file and returns only the settings that a node uses. */
     public static Settings parse(String toml) throws SettingsException {
         return loadText(toml).settings();
     }
@@ -149,7 +149,7 @@
         return teams;
     }
 
-    /** In the settings a limit of 0 means none: such a team uses whatever others leave. */
+    /** Reads a team's limit. A limit of 0 means no limit: the team may use all resources that other teams leave free. */
     private static double limit(SettingsTable table, String name) {
         double limit = table.requiredNumber(name);
         return limit == 0 ? Settings.Team.UNLIMITED : limit;
@@ -196,8 +196,8 @@
     }
 
     /**
-     * The limits announced for later, or null. A limit that is missing stays as it is now; one that is unusable is replaced
-     * by the lowest that may hold.
+     * Returns the announced limits, or null if there are none. A missing limit keeps its current value; an invalid one is
+     * replaced by the lower of its current value and its default.
      */
     private static Settings.StoreLimits announcedLimits(SettingsTable state, Settings.StoreLimits current) {
         if (!state.has(ANNOUNCED_LIMITS)) {
--- a/src/main/java/org/spoolline/config/SettingsTable.java
+++ b/src/main/java/org/spoolline/config/SettingsTable.java
@@ -9,8 +9,9 @@
 import java.util.regex.Pattern;
 
 /**
- * One table of the settings file. A required field that is missing or unusable is rejected; any other such field is replaced
- * by the given default. Both are added to the findings, and reading goes on, so that all of them are reported at once.
+ * One table of the settings file. A required field that is missing or invalid is added to the findings as an error; any
+ * other such field is replaced by the given default, and the replacement is added to the findings. No method throws, so
+ * that all errors are reported together.
  */
 final class SettingsTable {
     private static final Pattern ADDRESS = Pattern.compile("[0-9A-Za-z_.-]+:[0-9]{1,5}");
@@ -28,12 +29,12 @@
         this.findings = findings;
     }
 
-    /** The table that is the whole file. */
+    /** Returns the root table of the file. */
     static SettingsTable root(JsonNode file, SettingsFindings findings) {
         return new SettingsTable(file, "", findings);
     }
 
-    /** A table within this one; when it is missing or no table, all of its fields count as missing. */
+    /** Returns a nested table; if it is missing or not a table, all its fields count as missing. */
     SettingsTable table(String name) {
         JsonNode nested = table.path(name);
         if (!nested.isMissingNode() && !nested.isObject()) {
@@ -42,7 +43,7 @@
         return new SettingsTable(nested.isObject() ? nested : MissingNode.getInstance(), path + name + ".", findings);
     }
 
-    /** The tables of an array; an element that is no table counts as an empty one. */
+    /** Returns the tables of an array; an element that is not a table counts as an empty table. */
     List<SettingsTable> tables(String name) {
         List<SettingsTable> all = new ArrayList<>();
         for (JsonNode element : table.path(name)) {
@@ -51,7 +52,7 @@
         return all;
     }
 
-    /** Adds each field that is not among the known ones to the findings. Returns this table. */
+    /** Adds each field that is not in {@code knownFields} to the findings; returns this table. */
     SettingsTable reportUnknownFields(Set<String> knownFields) {
         for (Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
             String name = names.next();
@@ -62,17 +63,17 @@
         return this;
     }
 
-    /** True when the field is there, whatever it holds. */
+    /** Returns whether the field exists, with any value. */
     boolean has(String name) {
         return table.has(name);
     }
 
-    /** True when the field is there and is a table. */
+    /** Returns whether the field exists and is a table. */
     boolean hasTable(String name) {
         return table.path(name).isObject();
     }
 
-    /** A text that is not empty; rejected otherwise. */
+    /** Reads a non-empty string; adds an error and returns an empty string if there is none. */
     String requiredText(String name) {
         JsonNode value = table.path(name);
         if (isText(value)) {
@@ -82,7 +83,7 @@
         return "";
     }
 
-    /** A text of the form host:port; rejected otherwise. */
+    /** Reads a string of the form host:port; adds an error if there is none or if it has another form. */
     String requiredAddress(String name) {
         String value = requiredText(name);
         boolean valid = ADDRESS.matcher(value).matches()
@@ -93,7 +94,7 @@
         return value;
     }
 
-    /** A number of 0 or more; rejected otherwise. */
+    /** Reads a number of at least 0; adds an error and returns 0 if there is none. */
     double requiredNumber(String name) {
         JsonNode value = table.path(name);
         if (isNonNegativeNumber(value)) {
@@ -103,7 +104,7 @@
         return 0;
     }
 
-    /** A positive number of seconds, as milliseconds; rejected otherwise. */
+    /** Reads a positive number of seconds, returned in milliseconds; adds an error if there is none. */
     long requiredMillis(String name) {
         double seconds = requiredNumber(name);
         long millis = Math.round(seconds * MILLIS_PER_S);
@@ -113,24 +114,24 @@
         return millis;
     }
 
-    /** A text that is not empty, or the default. */
+    /** Reads a non-empty string, or returns the default. */
     String text(String name, String defaultValue) {
         JsonNode value = table.path(name);
         return isText(value) ? value.asText() : useDefault(name, value, defaultValue);
     }
 
-    /** A text that may be left out; null when it is missing or unusable. */
+    /** Reads an optional non-empty string; null if it is missing or invalid. */
     String optionalText(String name) {
         return isAbsent(table.path(name)) ? null : text(name, null);
     }
 
-    /** A number of 0 or more, or the default. */
+    /** Reads a number of at least 0, or returns the default. */
     double number(String name, double defaultValue) {
         JsonNode value = table.path(name);
         return isNonNegativeNumber(value) ? value.asDouble() : useDefault(name, value, defaultValue);
     }
 
-    /** A number of 0 or more that may be left out; null when it is missing or unusable. */
+    /** Reads an optional number of at least 0; null if it is missing or invalid. */
     Double optionalNumber(String name) {
         JsonNode value = table.path(name);
         if (isAbsent(value) || isNonNegativeNumber(value)) {
@@ -139,7 +140,7 @@
         return useDefault(name, value, null);
     }
 
-    /** A positive number, or the default. */
+    /** Reads a positive number, or returns the default. */
     double positiveNumber(String name, double defaultValue) {
         JsonNode value = table.path(name);
         return isNonNegativeNumber(value) && value.asDouble() > 0
@@ -147,7 +148,7 @@
                 : useDefault(name, value, defaultValue);
     }
 
-    /** A number of 1 or more without its fraction, or the default. */
+    /** Reads a number of at least 1 and drops its fraction, or returns the default. */
     int count(String name, int defaultValue) {
         JsonNode value = table.path(name);
         return isNonNegativeNumber(value) && value.asDouble() >= 1
@@ -155,7 +156,7 @@
                 : useDefault(name, value, defaultValue);
     }
 
-    /** A positive number of seconds, as milliseconds, or the default in milliseconds. */
+    /** Reads a positive number of seconds and returns it in milliseconds, or returns the default in milliseconds. */
     long millis(String name, long defaultValue) {
         JsonNode value = table.path(name);
         long millis = isNonNegativeNumber(value) ? Math.round(value.asDouble() * MILLIS_PER_S) : 0;
--- a/src/main/java/org/spoolline/config/package-info.java
+++ b/src/main/java/org/spoolline/config/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's and the operators' settings, checked, and all constants. */
+/** Reads and validates the platform's and the operators' settings, and defines all constants. */
 package org.spoolline.config;
