--- a/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
+++ b/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
@@ -18,13 +18,14 @@
 import org.xnio.XnioWorker;
 
 /**
- * Serves a few requests on loopback, with canned responses in place of the key-value store and the cloud, then ends. The
- * build runs it to record which classes a serving node loads, for the class data archive that shortens every start.
+ * Runs a node on loopback, sends it a few requests and stops. Canned responses replace the key-value store and the
+ * cloud. The build runs this class to record the classes that a serving node loads; the class data archive with these
+ * classes shortens every start.
  */
 final class ClassArchiveTraining {
     private static final int TIMEOUT_S = 20;
     private static final long HEARTBEAT_INTERVAL_MS = 100;
-    /** Ms for which a watch stays open, as that of a key-value store in which nothing changes. */
+    /** Time in ms after which a watch is answered, as by a key-value store in which nothing changes. */
     private static final long WATCH_MS = 500;
 
     private final CountDownLatch finished = new CountDownLatch(1);
@@ -40,7 +41,7 @@
         servicesAddress = freeAddress();
     }
 
-    /** Runs the training; true when every heartbeat was answered in time. */
+    /** Runs the training; returns whether the node answered every heartbeat in time. */
     boolean run() throws IOException, SettingsException, InterruptedException {
         Settings settings = settings();
         XnioWorker worker = ProcessNetwork.createWorker();
@@ -51,7 +52,7 @@
         return finished.await(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Written to a file and read as in a real start, so that the classes that it takes are recorded too. */
+    /** Writes a settings file and loads it as at a real start, so that the classes used for that are recorded too. */
     private Settings settings() throws IOException, SettingsException {
         Path file = Files.createTempFile("spoolline", ".toml");
         file.toFile().deleteOnExit();
--- a/src/main/java/org/spoolline/cli/Main.java
+++ b/src/main/java/org/spoolline/cli/Main.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * The command line. Exit codes: 0 success, 1 the service could not start, 2 wrong use or unusable settings, 3 an error that
- * no exception handling recovers from.
+ * The command line. Exit codes: 0 success, 1 the node could not start, 2 invalid arguments or settings, 3 an
+ * unrecoverable {@link Error}.
  */
 @Command(
         name = "spoolline",
@@ -25,7 +25,7 @@
     @Option(names = "--config", paramLabel = "FILE", description = "Settings file (TOML).")
     private Path config;
 
-    @Option(names = "--operator", paramLabel = "FILE", description = "Operators' own settings (XML), optional.")
+    @Option(names = "--operator", paramLabel = "FILE", description = "Operator settings file (XML), optional.")
     private Path operator;
 
     @Option(names = "--check", description = "Check the settings and exit without serving.")
@@ -37,7 +37,7 @@
             description = "Serve canned requests on loopback and exit; the build records the classes it loads.")
     private boolean trainClassArchive;
 
-    /** Runs the command and exits with its code. After a success the process ends once no thread is left to run. */
+    /** Runs the command; a failed command or a training run exits at once, others end with their last thread. */
     public static void main(String[] args) {
         ProcessLogging.configure(System.getenv("LOG_LEVEL"));
         configurePlatform();
@@ -48,18 +48,19 @@
         }
     }
 
-    /** Switches off what costs a start on a small share of a core too much. */
+    /** Disables JVM features that slow down a start on a small share of a core. */
     private static void configurePlatform() {
         System.getProperties().putIfAbsent("javax.management.builder.initial", DisabledJmx.class.getName());
         System.setProperty("jboss.threads.eqe.register-mbean", "false");
-        // Formatting a number in a locale other than this one loads the locale data of the whole platform.
+        // Formatting a number in any other locale loads the locale data of the whole JDK.
         Locale.setDefault(Locale.US);
     }
 
     private int execute(String[] args) {
         if (args.length == 2 && args[0].equals("--config")) {
-            // The form in which the platform starts each node. Picocli's classes are of a version that no class data
-            // archive takes, so they would be loaded from the jar: costly on a small share of a core.
+            // The platform starts each node with these arguments. This path avoids picocli: a class data archive does
+            // not
+            // accept its class file version, and loading it from the jar is slow on a small share of a core.
             config = Path.of(args[1]);
             return serveOrCheck();
         }
@@ -93,7 +94,7 @@
         return NodeProcess.run(loaded.settings().with(operatorSettings));
     }
 
-    /** Prints what {@code --check} found; succeeds only if a node would use every field as it is written. */
+    /** Prints the findings of {@code --check}; returns 0 only if no field would be replaced by a default. */
     private static int printCheck(SettingsFile.Loaded loaded) {
         loaded.unknownFields().forEach(field -> System.out.println("unknown, ignored: " + field));
         loaded.replacements().forEach(System.out::println);
--- a/src/main/java/org/spoolline/cli/NodeProcess.java
+++ b/src/main/java/org/spoolline/cli/NodeProcess.java
@@ -11,7 +11,7 @@
 import org.spoolline.net.Http;
 import org.xnio.XnioWorker;
 
-/** One controller node as a process: starts the controller on the event loop and listens on its addresses. */
+/** Runs a controller node in this process: starts the controller on the event loop and listens on its addresses. */
 final class NodeProcess {
     private static final Logger LOG = LoggerFactory.getLogger(NodeProcess.class);
 
@@ -26,13 +26,13 @@
         controller = new Controller(settings, network.loop(), network.caller(), new SplittableRandom());
     }
 
-    /** Serves until the process is killed; returns an exit code when it could not start. */
+    /** Serves until the process is killed; returns an exit code if the node could not start. */
     static int run(Settings settings) {
         try {
             XnioWorker worker = ProcessNetwork.createWorker();
             start(settings, worker);
-            // Parks this thread for good: a virtual machine was seen to crash in the C library's read while the thread
-            // that started it was still shutting down.
+            // Blocks the main thread forever. If it ends, the JVM may crash in the C library's read function while that
+            // thread is still shutting down.
             worker.awaitTermination();
             return 0;
         } catch (IOException | InterruptedException | RuntimeException e) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Starts a node on the worker's I/O thread and returns at once. */
+    /** Schedules the start of a node on the XNIO worker's I/O thread and returns immediately. */
     static void start(Settings settings, XnioWorker worker) {
         NodeProcess node = new NodeProcess(settings, worker);
         LOG.info(
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Listens for users and workers only once the leader is known, or after a timeout: after a crash of all controllers
-     * a thousand workers connect at once to a process whose classes are not loaded yet, and would keep it from the very
-     * election without which it has no answer for them.
+     * Starts the controller, and listens for users and workers only once the leader is known or after a timeout. After
+     * a crash of all controllers a thousand workers connect at once, while most classes are not loaded yet. Accepting
+     * them first would delay the election, and the node can't answer their requests before a leader is known.
      */
     private void startController() {
         controller.start(this::listenForUsers);
@@ -70,12 +70,12 @@
         }
     }
 
-    /** Retries an address that is in use, since a predecessor that was just killed may hold it a moment longer. */
+    /** Listens on an address; retries while it is in use, since a process that was just killed may still hold it. */
     private void listen(String address, Http.Handler handler, int triesLeft) {
         try {
             network.server().listen(address, handler);
         } catch (IOException | RuntimeException e) {
-            // A boundary: whatever keeps a node from listening, it must not run on without being reachable.
+            // Catches every exception: a node that can't listen is unreachable and has to exit, whatever the cause.
             Throwable cause = rootCause(e);
             boolean inUse = cause instanceof BindException;
             if (inUse && triesLeft > 1) {
--- a/src/main/java/org/spoolline/cli/ProcessExit.java
+++ b/src/main/java/org/spoolline/cli/ProcessExit.java
@@ -1,15 +1,15 @@
 package org.spoolline.cli;
 
-/** Why a process ends: its exit code and one last line on standard error, which logs keep when nothing else is known. */
+/** Exit codes, and the last line on standard error, which tells an operator why a process ended. */
 final class ProcessExit {
-    /** The service could not start, for instance because an address is in use. */
+    /** The node could not start, for example because an address is in use. */
     static final int CANNOT_START = 1;
-    /** Wrong use, or settings that can't be used. */
+    /** The arguments or the settings are invalid. */
     static final int BAD_SETTINGS = 2;
 
     private ProcessExit() {}
 
-    /** Says why the process ends, and returns the exit code. */
+    /** Writes the exit code and the reason to standard error; returns the exit code. */
     static int report(int exitCode, String reason) {
         System.err.println("spoolline: ends with exit code " + exitCode + ": " + reason);
         return exitCode;
--- a/src/main/java/org/spoolline/cli/ProcessLogging.java
+++ b/src/main/java/org/spoolline/cli/ProcessLogging.java
@@ -4,14 +4,16 @@
 import java.util.Locale;
 import org.slf4j.simple.SimpleServiceProvider;
 
-/** Sets the process's log up: slf4j-simple on standard error, at the level that {@code LOG_LEVEL} asks for. */
+/** Configures logging: slf4j-simple on standard error, at the level set by {@code LOG_LEVEL}. */
 final class ProcessLogging {
     private static final String DEFAULT_LEVEL = "info";
     private static final List<String> LEVELS = List.of("error", DEFAULT_LEVEL, "debug");
 
     private ProcessLogging() {}
 
-    /** Must run before the first logger is made, since slf4j reads these properties only once. */
+    /**
+     * Configures logging; must run before the first logger is created, since slf4j reads these properties only once.
+     */
     static void configure(String requestedLevel) {
         String level = supportedLevel(requestedLevel);
         System.setProperty("slf4j.provider", SimpleServiceProvider.class.getName());
@@ -22,7 +24,10 @@
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
     }
 
-    /** An unsupported level is reported and replaced by the default: it is no reason to keep a node from starting. */
+    /**
+     * Returns the requested level, or reports an unsupported one and returns the default, so that the node still
+     * starts.
+     */
     private static String supportedLevel(String requested) {
         if (requested == null) {
             return DEFAULT_LEVEL;
--- a/src/main/java/org/spoolline/cli/ProcessNetwork.java
+++ b/src/main/java/org/spoolline/cli/ProcessNetwork.java
@@ -18,12 +18,14 @@
 /**
  * The event loop of a process, with the HTTP client and server that run on it.
  *
- * @param loop   the worker's only I/O thread
- * @param caller sends requests
- * @param server listens
+ * @param loop   event loop on the only I/O thread of the XNIO worker
+ * @param caller HTTP client
+ * @param server HTTP server
  */
 record ProcessNetwork(EventLoop loop, UndertowCaller caller, UndertowServer server) {
-    /** One I/O thread, which is the event loop; XNIO insists on a task thread too, which idles. */
+    /**
+     * Creates an XNIO worker with one I/O thread, the event loop. XNIO also requires a task thread, which stays idle.
+     */
     static XnioWorker createWorker() throws IOException {
         return new NioXnioProvider()
                 .getInstance()
@@ -35,7 +37,9 @@
                         .getMap());
     }
 
-    /** Runs on the given worker. An error that no task recovers from halts the process, without shutdown hooks. */
+    /**
+     * Creates the network on the given XNIO worker. An unrecoverable error halts the process without shutdown hooks.
+     */
     static ProcessNetwork create(XnioWorker worker, Settings settings) {
         XnioIoThread thread = worker.getIoThread();
         ExceptionBoundary boundary = new ExceptionBoundary(Runtime.getRuntime()::halt);
--- a/src/main/java/org/spoolline/cli/SettingsLog.java
+++ b/src/main/java/org/spoolline/cli/SettingsLog.java
@@ -6,8 +6,8 @@
 import org.spoolline.config.SettingsFile;
 
 /**
- * Logs at each start which settings the node uses. Records are logged field by field: their own {@code toString} is linked
- * at run time by classes that no class data archive holds.
+ * Logs at each start which settings the node uses. Logs records field by field: the {@code toString} of a record
+ * generates classes at run time, and a class data archive can't contain these.
  */
 final class SettingsLog {
     private static final Logger LOG = LoggerFactory.getLogger(SettingsLog.class);
@@ -15,7 +15,7 @@
 
     private SettingsLog() {}
 
-    /** Logs what the reading of the settings file found. */
+    /** Logs the replaced and the unknown fields of the settings file. */
     static void logFindings(SettingsFile.Loaded loaded) {
         loaded.replacements().forEach(SettingsLog::logReplacement);
         if (!loaded.unknownFields().isEmpty()) {
@@ -31,7 +31,7 @@
                 replacement.used());
     }
 
-    /** Logs the settings in use, and which of the process's limits are too low for it. */
+    /** Logs the settings in use, and each process limit that is too low to serve in full. */
     static void logSummary(Settings settings) {
         LOG.info(
                 "Settings in use: controllers={} teams={} worker_lease_ms={} cancel_ms={} leadership_ms={} heap_mib={}",
--- a/src/main/java/org/spoolline/cli/TrainingMessages.java
+++ b/src/main/java/org/spoolline/cli/TrainingMessages.java
@@ -5,11 +5,13 @@
 import java.util.Optional;
 import org.spoolline.net.Json;
 
-/** Examples of the messages that a node exchanges with users, workers, the key-value store and the cloud. */
+/**
+ * Sample messages for the training run: those that users, workers, the key-value store and the cloud send to a node.
+ */
 final class TrainingMessages {
     static final String JOB_ID = "run-000001";
     static final String UNKNOWN_JOB_ID = "run-000002";
-    /** Path on which the key-value store answers a watch only once something changed. */
+    /** Path of a watch: the key-value store responds once a value has changed or the wait time is over. */
     static final String WATCH = "/follow";
 
     private static final String SUBMISSION =
@@ -73,17 +75,17 @@
 
     private TrainingMessages() {}
 
-    /** The settings file of a node without peers, whose key-value store and cloud are at one address. */
+    /** Returns the settings file of a node without peers; its key-value store and cloud share one address. */
     static String settings(String nodeAddress, String internalAddress, String servicesAddress) {
         return SETTINGS.formatted(nodeAddress, internalAddress, internalAddress, servicesAddress, servicesAddress);
     }
 
-    /** A submission of a user. */
+    /** Returns the body of a job submission. */
     static byte[] submission() {
         return SUBMISSION.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A worker's heartbeat; with {@code taskCompleted} it reports that its task has completed. */
+    /** Returns a worker's heartbeat; with {@code taskCompleted} it reports that its task has completed. */
     static byte[] heartbeat(int sequence, boolean taskCompleted) {
         ObjectNode heartbeat = Json.object()
                 .put("spooler", "m-000001")
@@ -106,7 +108,7 @@
         return Json.bytes(heartbeat);
     }
 
-    /** What the key-value store or the cloud answers; empty for a key that does not exist. */
+    /** Returns the response body of the key-value store or the cloud; empty for a key that does not exist. */
     static Optional<String> serviceResponse(String method, String path) {
         if (path.startsWith("/keys/")) {
             return Optional.empty();
--- a/src/main/java/org/spoolline/cli/package-info.java
+++ b/src/main/java/org/spoolline/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line, and the training run by which the build records the classes that a start loads. */
+/** Command line and process startup, and the training run in which the build records the classes that a node loads. */
 package org.spoolline.cli;
--- a/src/main/java/org/spoolline/config/Settings.java
+++ b/src/main/java/org/spoolline/config/Settings.java
@@ -97,7 +97,9 @@
      */
     public record StoreLimits(
             double requestsPerS, double writesPerS, int valueBytes, int txnOps, StoreLimits announced) {
-        /** The lower of each current and announced limit: valid before and after the store enforces the announced ones. */
+        /**
+         * The lower of each current and announced limit: valid before and after the store enforces the announced ones.
+         */
         public StoreLimits lowestOfCurrentAndAnnounced() {
             return announced == null ? this : lowest(announced);
         }
@@ -151,9 +153,9 @@
     }
 
     /**
-     * Duration in ms of a leadership lease. It is extended on a small share of a core: a process that just started on 4% of
-     * a core renews its lease more than 5 s late, so that leadership changes after each restart. It is shortened where the
-     * cancellation bound requires that.
+     * Duration in ms of a leadership lease. It is extended on a small share of a core: a process that just started on
+     * 4% of a core renews its lease more than 5 s late, so that leadership changes after each restart. It is shortened
+     * where the cancellation bound requires that.
      */
     public long leadershipMs() {
         double extensionFactor = Math.max(
@@ -168,7 +170,8 @@
 
     /**
      * Monotonic time in ms until which a node may rely on a leadership lease that was renewed by a request sent at
-     * {@code sentAt}, or on a view of the jobs read by such a request. Clock drift and margin are deducted from the lease.
+     * {@code sentAt}, or on a view of the jobs read by such a request. Clock drift and margin are deducted from the
+     * lease.
      */
     public long leadershipEndsAt(long sentAt) {
         return sentAt + (long) (leadershipMs() * (1 - Constants.Time.DRIFT)) - Constants.Time.MARGIN_MS;
@@ -204,8 +207,8 @@
     }
 
     /**
-     * Describes each process limit that is too low to serve in full; empty if there is none. A node with such limits still
-     * starts and serves as many requests as they allow.
+     * Describes each process limit that is too low to serve in full; empty if there is none. A node with such limits
+     * still starts and serves as many requests as they allow.
      */
     public List<String> insufficientLimits() {
         List<String> problems = new ArrayList<>();
@@ -226,23 +229,25 @@
     }
 
     /**
-     * Time in ms after the end of its leadership for which a leader that can't reach the key-value store may still respond
-     * to workers, so that their leases don't expire. The sum of the leadership lease, this time and the workers' lease is
-     * less than {@code cancelMs}.
+     * Time in ms after the end of its leadership for which a leader that can't reach the key-value store may still
+     * respond to workers, so that their leases don't expire. The sum of the leadership lease, this time and the
+     * workers' lease is less than {@code cancelMs}.
      */
     public long keepAliveMs() {
         return Math.max(0, workers.cancelMs() - workers.leaseMs() - leadershipMs() - Constants.Time.CANCEL_RESERVE_MS);
     }
 
     /**
-     * Time in ms for which a node may cache that a job is not cancelled. A status response about a dependent job may thus miss
-     * a cancellation, but only one that was committed well within {@code cancelMs} before.
+     * Time in ms for which a node may cache that a job is not cancelled. A status response about a dependent job may
+     * thus miss a cancellation, but only one that was committed well within {@code cancelMs} before.
      */
     public long ancestorCacheMs() {
         return workers.cancelMs() / Constants.Api.ANCESTOR_CACHE_FRACTION;
     }
 
-    /** Time in ms after its last response by which a worker has terminated all its tasks, including drift and margin. */
+    /**
+     * Time in ms after its last response by which a worker has terminated all its tasks, including drift and margin.
+     */
     public long leaseExpiryMs() {
         return (long) (workers.leaseMs() * (1 + Constants.Time.DRIFT)) + Constants.Time.MARGIN_MS;
     }
--- a/src/main/java/org/spoolline/config/SettingsFile.java
+++ b/src/main/java/org/spoolline/config/SettingsFile.java
@@ -15,10 +15,10 @@
 import org.spoolline.codec.TreeCodec;
 
 /**
- * Reads and validates the platform's TOML file. A file is rejected only if a field is missing or invalid without which a
- * node can't serve or can't comply with the protocol: its name and addresses, its peers, the services, the workers' lease,
- * the cancellation bound and the teams' limits. Any other field that is missing or invalid is reported and replaced by a
- * default that is at least as conservative as any usual setting. Unknown fields are reported and ignored.
+ * Reads and validates the platform's TOML file. A file is rejected only if a field is missing or invalid without which
+ * a node can't serve or can't comply with the protocol: its name and addresses, its peers, the services, the workers'
+ * lease, the cancellation bound and the teams' limits. Any other field that is missing or invalid is reported and
+ * replaced by a default that is at least as conservative as any usual setting. Unknown fields are reported and ignored.
  */
 public final class SettingsFile {
     private static final Set<String> ROOT_FIELDS =
@@ -149,7 +149,9 @@
         return teams;
     }
 
-    /** Reads a team's limit. A limit of 0 means no limit: the team may use all resources that other teams leave free. */
+    /**
+     * Reads a team's limit. A limit of 0 means no limit: the team may use all resources that other teams leave free.
+     */
     private static double limit(SettingsTable table, String name) {
         double limit = table.requiredNumber(name);
         return limit == 0 ? Settings.Team.UNLIMITED : limit;
@@ -196,8 +198,8 @@
     }
 
     /**
-     * Returns the announced limits, or null if there are none. A missing limit keeps its current value; an invalid one is
-     * replaced by the lower of its current value and its default.
+     * Returns the announced limits, or null if there are none. A missing limit keeps its current value; an invalid one
+     * is replaced by the lower of its current value and its default.
      */
     private static Settings.StoreLimits announcedLimits(SettingsTable state, Settings.StoreLimits current) {
         if (!state.has(ANNOUNCED_LIMITS)) {
--- a/src/test/java/org/spoolline/PackageDependenciesTest.java
+++ b/src/test/java/org/spoolline/PackageDependenciesTest.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Packages depend on one another in one direction only, so that each can be read without those above it. */
+/** Dependencies between packages have one direction, so that each package can be understood without those above it. */
 class PackageDependenciesTest {
     private static final String ROOT = "org.spoolline";
 
     /**
-     * The packages from bottom to top. A package may depend on those of the lines before its own, and on none of its
-     * own line; "" is the package that wires the controller together.
+     * The layers from bottom to top. A package may depend on packages of lower layers only, not on others of its own
+     * layer. The empty name is the root package, which creates and connects the components of the controller.
      */
     private static final List<List<String>> LAYERS = List.of(
             List.of("codec"),
@@ -59,7 +59,7 @@
         layers.check(CLASSES);
     }
 
-    /** Also says which classes close a cycle, which the order of the layers alone does not. */
+    /** Reports the classes that form a cycle, which the check of the layers does not. */
     @Test
     void packagesAreFreeOfCycles() {
         slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(CLASSES);
--- a/src/test/java/org/spoolline/cli/MainTest.java
+++ b/src/test/java/org/spoolline/cli/MainTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.spoolline.config.SampleSettings;
 
-/** The program as the platform starts it, in a process of its own. */
+/** Runs {@link Main} in a separate process, as the platform does. */
 class MainTest {
     private static final String SETTINGS = SampleSettings.NODE;
 
-    /** How the process result, with all that it wrote. */
+    /** Exit code of the process, and its output including standard error. */
     private record ProcessResult(int exitCode, String output) {}
 
     private static ProcessResult check(Path directory, String logLevel, String settings)
@@ -32,7 +32,7 @@
         return new ProcessResult(process.waitFor(), output);
     }
 
-    /** A level that this version does not know must not keep a node from starting. */
+    /** An unsupported log level must be reported but must not prevent a node from starting. */
     @Test
     void unknownLogLevelDoesNotPreventStart(@TempDir Path directory) throws Exception {
         ProcessResult result = check(directory, "warn", SETTINGS);
@@ -40,7 +40,9 @@
         assertTrue(result.output().contains("LOG_LEVEL"), result.output());
     }
 
-    /** Without a lastLine line, a process that refuses its settings looks like one that was killed. */
+    /**
+     * Without a reason as the last line, a process that rejects its settings can't be told from one that was killed.
+     */
     @Test
     void lastOutputLineGivesExitReason(@TempDir Path directory) throws Exception {
         ProcessResult result = check(directory, "info", SETTINGS.replace("lease_s = 18.0", "lease_s = -1"));
@@ -50,7 +52,7 @@
         assertTrue(lastLine.contains("cluster.workers.lease_s, which is -1"), lastLine);
     }
 
-    /** {@code --check} is stricter than a start: a field that would be replaced is reported, and the check fails. */
+    /** {@code --check} is stricter than a start: it reports a field that would be replaced by a default, and fails. */
     @Test
     void checkFailsOnReplacedField(@TempDir Path directory) throws Exception {
         assertEquals(0, check(directory, "info", SETTINGS).exitCode());
--- a/src/test/java/org/spoolline/config/SampleSettings.java
+++ b/src/test/java/org/spoolline/config/SampleSettings.java
@@ -1,10 +1,10 @@
 package org.spoolline.config;
 
-/** The settings of a node without peers, as the platform writes them; tests replace lines of them. */
+/** Sample settings file of a node without peers, as the platform writes it; tests replace single lines. */
 public final class SampleSettings {
     private SampleSettings() {}
 
-    /** Every field that this version reads but objectives and announced limits, and one that it does not know. */
+    /** All fields that this version reads except objectives and announced limits, and one unknown field. */
     public static final String NODE =
             """
             node_name = "n0"
--- a/src/test/java/org/spoolline/config/SettingsFileTest.java
+++ b/src/test/java/org/spoolline/config/SettingsFileTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The platform's file, checked. */
+/** Reading and validating the platform's settings file and the operator settings. */
 class SettingsFileTest {
     private static final String VALID_SETTINGS = SampleSettings.NODE;
 
@@ -24,7 +24,7 @@
                 .getMessage();
     }
 
-    /** Bounds that were fixed for the first deployments once did not grow with the machines. */
+    /** Fixed limits would not grow with the number of machines, so they follow from the quota and the interval. */
     @Test
     void derivesLimitsAndTimesFromSettings() throws Exception {
         Settings small = SettingsFile.parse(VALID_SETTINGS.replace("sockets = 2500", "sockets = 100"));
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Only a field without which a node can't serve or keep the protocol may keep it from starting: a rejection that was not needed once
-     * held a whole deployment down. Each other field may be missing, or be anything at all.
+     * Only a field without which a node can't serve or can't comply with the protocol may prevent its start. Rejecting
+     * any other field would take down a whole deployment without need, so each of them may be missing or invalid.
      */
     @Test
     void acceptsMissingAndInvalidOptionalFields() throws Exception {
@@ -109,7 +109,10 @@
                         .node());
     }
 
-    /** A guest team has no guarantee and no limit: read as a limit of nothing, each of its jobs got 422. */
+    /**
+     * A guest team has no guarantee and a limit of 0. If 0 is read as no capacity, each of its jobs is rejected with
+     * 422.
+     */
     @Test
     void treatsTeamLimitOfZeroAsUnlimited() throws Exception {
         Settings.Team team = SettingsFile.parse(VALID_SETTINGS.replace("cpus_max = 2.0", "cpus_max = 0.0"))
@@ -143,7 +146,7 @@
                 .contains("no-such-file"));
     }
 
-    /** An objective on users' deadlines has no time of its own; a node that required one did not start. */
+    /** An objective on users' deadlines has no time limit; a node that requires one does not start. */
     @Test
     void readsObjectiveWithoutTime() throws Exception {
         Settings settings = SettingsFile.parse(
@@ -174,7 +177,7 @@
         assertEquals(new Settings.StoreLimits(100, 40, 2 * 1024, 4, null), announced.lowestOfCurrentAndAnnounced());
     }
 
-    /** Unusable announced limits are replaced by ones that allow no more than the present ones and the defaults. */
+    /** An invalid announced limit must not allow more than the current limit or the default. */
     @Test
     void replacesInvalidAnnouncedLimitsByLowest() throws Exception {
         String invalidValue = VALID_SETTINGS + "[cluster.state.next]\nvalue_kb = 0\n";
@@ -205,7 +208,7 @@
                 SettingsFile.parse(notATable).storeLimits().lowestOfCurrentAndAnnounced());
     }
 
-    /** What is replaced is reported with its value, and what is rejected is reported all at once. */
+    /** Each replaced field is reported with its value, and all rejected fields are reported together on one line. */
     @Test
     void reportsAllFindings() throws Exception {
         assertEquals(List.of(), replacements(VALID_SETTINGS));
@@ -225,7 +228,7 @@
         assertEquals(1, twoErrors.lines().count());
     }
 
-    /** A default allows no more than the settings might have. */
+    /** A default above the real limit of a service would cause rejected requests or lost machines. */
     @Test
     void defaultsAreConservative() throws Exception {
         Settings settings = SettingsFile.parse(VALID_SETTINGS
@@ -242,7 +245,10 @@
         assertTrue(settings.heartbeatOverdueMs() < settings.workers().leaseMs());
     }
 
-    /** A cut-off leader, its keep-alive and the workers' lease must all end before a cancellation's bound. */
+    /**
+     * A leader that is cut off from the key-value store does not see a cancellation. Its leadership lease, its
+     * keep-alive time and the workers' lease must together be shorter than the cancellation bound.
+     */
     @Test
     void leasesExpireBeforeCancellationBound() throws Exception {
         for (double lease : new double[] {4, 10, 18, 30, 40}) {
@@ -260,7 +266,7 @@
                 .contains("cancel_s"));
     }
 
-    /** Renewals of a process on a small share come late: with 5 s its leadership ended again and again. */
+    /** A process with a small CPU share renews its lease late and would repeatedly lose a leadership lease of 5 s. */
     @Test
     void extendsLeadershipLeaseOnSmallCpuShare() throws Exception {
         assertEquals(5_000, SettingsFile.parse(VALID_SETTINGS).leadershipMs());
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresExtension.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresExtension.java
@@ -12,17 +12,17 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Runs the tests listed in KNOWN-RED.txt like all others. A listed one that fails is printed and counted as skipped; one
- * that passes fails the run, so that the list never outlives the fault. A listed parameterized test passes when all of
- * its cases do.
+ * Runs the tests listed in KNOWN-RED.txt like all others. If a listed test fails, it is printed and counted as skipped.
+ * If it passes, the run fails, so that the entry is removed once the fault is fixed. A listed parameterized test passes
+ * if all of its cases pass.
  */
 public final class KnownFailuresExtension implements InvocationInterceptor, AfterAllCallback {
     private final KnownFailuresList list;
     private final Consumer<String> log;
-    /** For each listed parameterized test of which a case has run: whether a case has failed. */
+    /** For each listed parameterized test that has run at least one case: whether any case has failed. */
     private final Map<KnownFailuresList.Entry, Boolean> failedCases = new ConcurrentHashMap<>();
 
-    /** Reads the list of the repository. */
+    /** Creates an extension with the list of the repository; JUnit calls this. */
     public KnownFailuresExtension() {
         this(KnownFailuresList.read(), System.out::println);
     }
@@ -53,7 +53,7 @@
         failOnPassedTests(context.getRequiredTestClass().getName());
     }
 
-    /** Runs one test, and inverts its outcome if it is listed. */
+    /** Runs a test; if it is listed, its failure aborts it and its success fails the run. */
     void run(String className, String methodName, Invocation<Void> invocation) throws Throwable {
         Optional<KnownFailuresList.Entry> listed = list.find(className, methodName);
         if (listed.isEmpty()) {
@@ -64,7 +64,7 @@
         throw passedError(listed.get());
     }
 
-    /** Runs one case of a parameterized test; a case that fails is not counted if the test is listed. */
+    /** Runs one case of a parameterized test; if the test is listed, a failed case is counted as skipped. */
     void runCase(String className, String methodName, Invocation<Void> invocation) throws Throwable {
         Optional<KnownFailuresList.Entry> listed = list.find(className, methodName);
         if (listed.isEmpty()) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Fails for a listed parameterized test of the class none of whose cases has failed. */
+    /** Throws if a listed parameterized test of the class has passed, that is if none of its cases has failed. */
     void failOnPassedTests(String className) {
         failedCases.forEach((entry, failed) -> {
             if (!failed && entry.className().equals(className)) {
@@ -89,7 +89,7 @@
         });
     }
 
-    /** Runs a listed test; its failure is reported and does not count. */
+    /** Runs a listed test; its failure is printed and counted as skipped. */
     private void proceed(KnownFailuresList.Entry entry, Invocation<Void> invocation) {
         try {
             invocation.proceed();
@@ -102,6 +102,6 @@
     }
 
     private static AssertionError passedError(KnownFailuresList.Entry entry) {
-        return new AssertionError(entry.test() + " passes: take it off KNOWN-RED.txt");
+        return new AssertionError(entry.test() + " passes: remove it from KNOWN-RED.txt");
     }
 }
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresList.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresList.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 
 /**
- * The tests that may fail. One line each in {@code KNOWN-RED.txt}: {@code class#method | cause | issue N}; blank lines
- * and lines that begin with {@code #} are comments.
+ * The tests that are known to fail, read from {@code KNOWN-RED.txt}. Each line has the form
+ * {@code class#method | cause | issue N}; blank lines and lines that begin with {@code #} are ignored.
  */
 final class KnownFailuresList {
-    /** The users' limit: any more failures are fixed, not listed. */
+    /** Maximum number of entries, set by the users: further failures have to be fixed. */
     static final int MAX_ENTRIES = 3;
 
     private static final Path FILE = Path.of("KNOWN-RED.txt");
     private static final int FIELD_COUNT = 3;
 
-    /** One test that is known to fail. */
+    /** A test that is known to fail. */
     record Entry(String className, String methodName, String cause, String issue) {
-        /** The test as it is written in the file. */
+        /** Returns the test in the form {@code class#method}, as in the file. */
         String test() {
             return className + "#" + methodName;
         }
@@ -40,7 +40,7 @@
         this.entries = entries;
     }
 
-    /** Reads the list at the root of the repository; without the file nothing is known to fail. */
+    /** Reads the list at the root of the repository; empty if there is no such file. */
     static KnownFailuresList read() {
         try {
             return Files.exists(FILE) ? parse(Files.readAllLines(FILE)) : new KnownFailuresList(List.of());
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Parses the list; a line that names no test, no cause or no issue is an error. */
+    /** Parses the list; throws {@link IllegalArgumentException} for a line without a test, a cause or an issue. */
     static KnownFailuresList parse(List<String> lines) {
         List<Entry> parsed = new ArrayList<>();
         for (String line : lines) {
@@ -74,12 +74,12 @@
         return new Entry(test[0], test[1], fields.get(1), fields.get(2));
     }
 
-    /** The entries in the order of the file. */
+    /** Returns the entries in file order. */
     List<Entry> entries() {
         return entries;
     }
 
-    /** The entry of a test, if it is listed. */
+    /** Returns the entry of a test, or empty if it is not listed. */
     Optional<Entry> find(String className, String methodName) {
         return entries.stream()
                 .filter(entry -> entry.className().equals(className)
@@ -87,11 +87,11 @@
                 .findFirst();
     }
 
-    /** What is wrong with the list itself, one text each: too many entries, one twice, or one whose test does not exist. */
+    /** Describes each problem of the list: too many entries, a duplicate, or an entry whose test does not exist. */
     List<String> problems() {
         List<String> problems = new ArrayList<>();
         if (entries.size() > MAX_ENTRIES) {
-            problems.add(entries.size() + " tests are listed, at most " + MAX_ENTRIES + " may be");
+            problems.add(entries.size() + " tests are listed, at most " + MAX_ENTRIES + " are allowed");
         }
         Set<String> testNames = new HashSet<>();
         for (Entry entry : entries) {
--- a/src/test/java/org/spoolline/knownfailures/KnownFailuresTest.java
+++ b/src/test/java/org/spoolline/knownfailures/KnownFailuresTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.extension.InvocationInterceptor.Invocation;
 import org.opentest4j.TestAbortedException;
 
-/** The list of known failures, and the outcome of the tests on it. */
+/** Validation of KNOWN-RED.txt, and the outcome of listed and other tests. */
 class KnownFailuresTest {
     private static final String TEST_CLASS = KnownFailuresTest.class.getName();
     private static final String LISTED_TEST = TEST_CLASS + "#listedPassingTestFailsRun";
--- a/src/test/java/org/spoolline/knownfailures/package-info.java
+++ b/src/test/java/org/spoolline/knownfailures/package-info.java
@@ -1,2 +1,4 @@
-/** Tests that are known to fail: listed in KNOWN-RED.txt, printed by every run, and no longer listed once they pass. */
+/**
+ * Handles the tests listed in KNOWN-RED.txt as known to fail: each run prints them, and fails if one of them passes.
+ */
 package org.spoolline.knownfailures;
