--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
@@ -17,7 +17,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.reconcile.TaskPhases;
 
-/** Builds the input of a plan from the leader's tables. */
+/** Builds the input of a planning pass from the leader's jobs, machines and reservations. */
 final class ClusterSnapshotBuilder {
     private final EventLoop loop;
     private final Settings settings;
@@ -40,31 +40,31 @@
     }
 
     /**
-     * Builds a snapshot of the present moment.
+     * Builds a snapshot of the current state.
      *
-     * @param workingJobs    jobs that take part in the plan, by id
-     * @param fullJobs       jobs whose value can't take more attempts for now
+     * @param workingJobs    jobs to plan, by id
+     * @param jobsWithFullValue       jobs whose stored value has no space for more attempts at present
      * @param mayConsolidate true when the plan may evacuate machines
      */
-    ClusterSnapshot build(Map<String, Pipeline> workingJobs, JobPauses fullJobs, boolean mayConsolidate) {
-        Map<String, List<Attempt>> holding = new HashMap<>();
-        Set<String> placeable = new HashSet<>();
-        for (Map.Entry<String, Pipeline> working : workingJobs.entrySet()) {
-            String jobId = working.getKey();
+    ClusterSnapshot build(Map<String, Pipeline> workingJobs, JobPauses jobsWithFullValue, boolean mayConsolidate) {
+        Map<String, List<Attempt>> pendingWriteAttempts = new HashMap<>();
+        Set<String> placeableJobs = new HashSet<>();
+        for (Map.Entry<String, Pipeline> workingJob : workingJobs.entrySet()) {
+            String jobId = workingJob.getKey();
             JobEntry entry = jobs.get(jobId);
             if (entry.inFlight()) {
-                holding.put(jobId, committedAndProposedAttempts(entry));
-            } else if (canTakeTasks(working.getValue()) && !fullJobs.isPaused(jobId)) {
-                placeable.add(jobId);
+                pendingWriteAttempts.put(jobId, committedAndProposedAttempts(entry));
+            } else if (canPlaceTasks(workingJob.getValue()) && !jobsWithFullValue.isPaused(jobId)) {
+                placeableJobs.add(jobId);
             }
         }
         return new ClusterSnapshot(
                 List.copyOf(workingJobs.values()),
-                holding,
-                placeable,
+                pendingWriteAttempts,
+                placeableJobs,
                 machines.byName(),
                 machines.schedulable(loop.now(), settings.heartbeatOverdueMs()),
-                reservations.jobsByMachine(),
+                reservations.reservedJobsByMachine(),
                 reservations.gangsPreemptedForImage(),
                 dependencies.inheritedPriorities(),
                 catalog.types(),
@@ -74,7 +74,7 @@
                 loop.now());
     }
 
-    /** While a write is in flight either value may be the stored one, so the attempts of both occupy capacity. */
+    /** While a write is in flight, either value may be the stored one, so the attempts of both count as occupying. */
     private static List<Attempt> committedAndProposedAttempts(JobEntry entry) {
         Set<Attempt> union = new HashSet<>(entry.committed().attempts());
         union.addAll(entry.proposed().attempts());
@@ -82,17 +82,18 @@
     }
 
     /**
-     * A gang that lacks members is completed once those it has wait with their image, so that none waits long. A machine
-     * that still reports an ended member would take the next launch of the same attempt number for a repetition.
+     * Missing members of a partly placed gang are placed only once all others have their image and wait for the gang,
+     * which keeps that wait short. No machine reserved for the gang may still list an exited member: the worker would
+     * treat a new launch with the same attempt number as a duplicate.
      */
-    private boolean canTakeTasks(Pipeline job) {
+    private boolean canPlaceTasks(Pipeline job) {
         if (!job.spec().gang() || job.attempts().isEmpty()) {
             return true;
         }
-        return allMembersWait(job) && noReservedMachineReportsExited(job.jobId());
+        return allMembersWaitForGang(job) && noReservedMachineListsExitedTask(job.jobId());
     }
 
-    private boolean allMembersWait(Pipeline gang) {
+    private boolean allMembersWaitForGang(Pipeline gang) {
         for (Attempt attempt : gang.attempts()) {
             if (phases.lastReported(gang.jobId(), attempt) != TaskStatus.Phase.WAITING_FOR_GANG) {
                 return false;
@@ -101,17 +102,17 @@
         return true;
     }
 
-    private boolean noReservedMachineReportsExited(String jobId) {
-        for (String name : reservations.machinesOf(jobId)) {
+    private boolean noReservedMachineListsExitedTask(String jobId) {
+        for (String name : reservations.machinesReservedFor(jobId)) {
             Machine machine = machines.get(name);
-            if (machine != null && !machine.terminated() && reportsExited(machine, jobId)) {
+            if (machine != null && !machine.terminated() && listsExitedTask(machine, jobId)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean reportsExited(Machine machine, String jobId) {
+    private static boolean listsExitedTask(Machine machine, String jobId) {
         for (TaskStatus status : machine.tasks().values()) {
             if (status.phase() == TaskStatus.Phase.EXITED && status.jobId().equals(jobId)) {
                 return true;
--- a/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
@@ -16,12 +16,14 @@
 import org.spoolline.pipeline.Submission;
 
 /**
- * Decides which machines to evacuate while no job waits for capacity. After a burst the remaining long tasks are spread
- * thinly, and each of their machines is paid for. Tasks with checkpoints move to machines that have their image and
- * stay in use anyway. As much capacity as jobs requested recently is left free. A plan depends on its snapshot alone.
+ * Decides which machines to evacuate while no job waits for capacity, so that they can be released. After a burst of
+ * jobs, a few long tasks are left on each of many machines, all of which are paid for.
+ *
+ * <p>Tasks with checkpoints move to machines that have their image and stay in use anyway. As many cores as jobs have
+ * requested recently are left free. A plan depends on its snapshot only.
  */
 final class ConsolidationPlanner {
-    /** An attempt with its job, on a machine that may be evacuated. */
+    /** An attempt that occupies capacity, with its job. */
     private record RunningTask(Pipeline job, Attempt attempt) {
         Submission spec() {
             return job.spec();
@@ -31,8 +33,8 @@
     private final ClusterSnapshot snapshot;
     private final List<SchedulableMachine> machines;
     private final Map<String, List<RunningTask>> tasksByMachine = new HashMap<>();
-    private final Set<String> evacuated = new LinkedHashSet<>();
-    private final Set<String> receiving = new LinkedHashSet<>();
+    private final Set<String> evacuatedMachines = new LinkedHashSet<>();
+    private final Set<String> receivingMachines = new LinkedHashSet<>();
 
     private ConsolidationPlanner(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
         this.snapshot = snapshot;
@@ -40,11 +42,12 @@
     }
 
     /**
-     * Names of the machines to evacuate.
+     * Returns the names of the machines to evacuate.
      *
-     * @param machines schedulable machines with the capacity that all attempts leave free
+     * @param machines schedulable machines, with the capacity of all attempts allocated; capacity for moved tasks is
+     *     allocated on them in addition
      */
-    static Set<String> evacuated(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
+    static Set<String> machinesToEvacuate(ClusterSnapshot snapshot, List<SchedulableMachine> machines) {
         return new ConsolidationPlanner(snapshot, machines).evacuate();
     }
 
@@ -56,15 +59,15 @@
         collectTasks();
         List<SchedulableMachine> targets = targets();
         for (SchedulableMachine source : sources()) {
-            boolean isTarget = receiving.contains(source.name());
+            boolean isTarget = receivingMachines.contains(source.name());
             if (source.type().cores() <= spareCores && !isTarget && moveTasks(source, targets)) {
                 spareCores -= source.type().cores();
             }
         }
-        return evacuated;
+        return evacuatedMachines;
     }
 
-    /** Free cores beyond those that are kept for the next jobs. */
+    /** Free cores beyond those that are kept free for the next jobs. */
     private double spareCores() {
         double free = machines.stream().mapToDouble(SchedulableMachine::cores).sum();
         return free - ClusterSnapshot.recentlyRequestedCores(snapshot.jobs(), snapshot.timeOfDay());
@@ -80,7 +83,7 @@
         }
     }
 
-    /** The machines worth evacuating, those with the least in use first, as many as one cycle may try. */
+    /** The machines worth evacuating, lowest utilization first, limited to as many as one cycle may try. */
     private List<SchedulableMachine> sources() {
         List<SchedulableMachine> sources = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
@@ -93,7 +96,7 @@
         return sources.subList(0, Math.min(sources.size(), Constants.Placement.CONSOLIDATION_CANDIDATES_MAX));
     }
 
-    /** The machines in use that have free cores, those with the most in use first. */
+    /** The machines that run tasks and have free cores, highest utilization first. */
     private List<SchedulableMachine> targets() {
         List<SchedulableMachine> targets = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
@@ -109,16 +112,16 @@
         return targets;
     }
 
-    /** True when at most half the machine is in use, all of it by tasks that can move. */
+    /** True when utilization is at most half and all tasks on the machine can be moved. */
     private boolean isWorthEvacuating(SchedulableMachine machine) {
         List<RunningTask> tasks = tasksByMachine.getOrDefault(machine.name(), List.of());
         return !tasks.isEmpty()
                 && machine.utilization() <= Constants.Placement.CONSOLIDATION_UTILIZATION_MAX
-                && tasks.stream().allMatch(this::canMove);
+                && tasks.stream().allMatch(this::canBeMoved);
     }
 
-    /** True for a task with checkpoints, of an array, that has run for a while and is expected to go on for a while. */
-    private boolean canMove(RunningTask task) {
+    /** True for a task with checkpoints, not of a gang, whose run time so far and remaining run time justify a move. */
+    private boolean canBeMoved(RunningTask task) {
         Submission spec = task.spec();
         Machine machine = snapshot.machinesByName().get(task.attempt().machine());
         AttemptId attemptId = AttemptId.of(task.job().jobId(), task.attempt());
@@ -130,7 +133,7 @@
                 && spec.estimateS() - ranS >= Constants.Placement.CONSOLIDATION_MIN_REMAINING_S;
     }
 
-    /** Allocates capacity on the targets for all tasks of the source; false, without effect, when some don't fit. */
+    /** Allocates capacity on the targets for all tasks of the source; false, without effect, when one does not fit. */
     private boolean moveTasks(SchedulableMachine source, List<SchedulableMachine> targets) {
         Map<SchedulableMachine, List<Submission>> moved = new HashMap<>();
         for (RunningTask task : tasksByMachine.get(source.name())) {
@@ -142,8 +145,8 @@
             target.get().allocate(task.spec());
             moved.computeIfAbsent(target.get(), machine -> new ArrayList<>()).add(task.spec());
         }
-        evacuated.add(source.name());
-        moved.keySet().forEach(machine -> receiving.add(machine.name()));
+        evacuatedMachines.add(source.name());
+        moved.keySet().forEach(machine -> receivingMachines.add(machine.name()));
         return true;
     }
 
@@ -157,7 +160,7 @@
             boolean zoneAllowed = !spec.singleZone() || target.zone().equals(source.zone());
             if (target != source
                     && zoneAllowed
-                    && !evacuated.contains(target.name())
+                    && !evacuatedMachines.contains(target.name())
                     && target.accepts(task.job())
                     && target.fits(spec)
                     && target.hasImage(spec)) {
--- a/src/main/java/org/spoolline/scheduler/GangPreemption.java
+++ b/src/main/java/org/spoolline/scheduler/GangPreemption.java
@@ -11,7 +11,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** Chooses the machines to be cleared for an urgent gang: one for each of its tasks. */
+/** Selects the machines to clear by preemption for an urgent gang, one machine for each of its tasks. */
 final class GangPreemption {
     private final ClusterSnapshot snapshot;
     private final List<SchedulableMachine> machines;
@@ -24,18 +24,19 @@
     }
 
     /**
-     * The cheapest machines among those allowed, one for each task of the gang and in one zone where the job requires
-     * that; empty when there are too few.
+     * Returns the allowed machines that cost the least, one for each task of the gang, all in one zone if the gang
+     * requires that; empty when there are too few machines.
      */
-    List<Victim.Group> choose(Pipeline gang, Predicate<SchedulableMachine> allowed) {
+    List<Victim.OnMachine> choose(Pipeline gang, Predicate<SchedulableMachine> allowed) {
         if (!gang.spec().singleZone()) {
             return cheapest(gang, allowed);
         }
         Set<String> zones = new LinkedHashSet<>();
         machines.forEach(machine -> zones.add(machine.zone()));
-        List<Victim.Group> best = List.of();
+        List<Victim.OnMachine> best = List.of();
         for (String zone : zones) {
-            List<Victim.Group> inZone = cheapest(gang, machine -> machine.zone().equals(zone) && allowed.test(machine));
+            List<Victim.OnMachine> inZone =
+                    cheapest(gang, machine -> machine.zone().equals(zone) && allowed.test(machine));
             if (!inZone.isEmpty() && (best.isEmpty() || totalCost(inZone) < totalCost(best))) {
                 best = inZone;
             }
@@ -43,30 +44,30 @@
         return best;
     }
 
-    /** Core seconds that clearing all these machines costs. */
-    static double totalCost(List<Victim.Group> groups) {
-        return groups.stream().mapToDouble(Victim.Group::cost).sum();
+    /** Total cost in core seconds of clearing these machines and of fetching the image there. */
+    static double totalCost(List<Victim.OnMachine> chosen) {
+        return chosen.stream().mapToDouble(Victim.OnMachine::cost).sum();
     }
 
-    private List<Victim.Group> cheapest(Pipeline gang, Predicate<SchedulableMachine> allowed) {
-        List<Victim.Group> groups = new ArrayList<>();
+    private List<Victim.OnMachine> cheapest(Pipeline gang, Predicate<SchedulableMachine> allowed) {
+        List<Victim.OnMachine> candidates = new ArrayList<>();
         for (SchedulableMachine machine : machines) {
             if (machine.accepts(gang) && !machine.isReserved() && allowed.test(machine)) {
-                victimsFor(gang, machine).ifPresent(groups::add);
+                victimsFor(gang, machine).ifPresent(candidates::add);
             }
         }
         int tasks = gang.spec().tasks();
-        if (groups.size() < tasks) {
+        if (candidates.size() < tasks) {
             return List.of();
         }
-        groups.sort(Comparator.comparingDouble(Victim.Group::cost));
-        List<Victim.Group> cheapest = groups.subList(0, tasks);
-        // A machine type without a fetch rate makes the cost infinite.
+        candidates.sort(Comparator.comparingDouble(Victim.OnMachine::cost));
+        List<Victim.OnMachine> cheapest = candidates.subList(0, tasks);
+        // The cost is infinite for a machine type whose image fetch rate is 0.
         return totalCost(cheapest) < Double.MAX_VALUE ? cheapest : List.of();
     }
 
-    /** The victims that make way for one task of the gang, least loss first; empty when they don't suffice. */
-    private Optional<Victim.Group> victimsFor(Pipeline gang, SchedulableMachine machine) {
+    /** The victims to evict so that one task of the gang fits, least loss first; empty when it would not fit. */
+    private Optional<Victim.OnMachine> victimsFor(Pipeline gang, SchedulableMachine machine) {
         Submission spec = gang.spec();
         Capacity free = machine.copy();
         List<Victim> evicted = new ArrayList<>();
@@ -79,15 +80,15 @@
             free.release(victim.spec());
             cost += victim.loss();
         }
-        return free.fits(spec) ? Optional.of(new Victim.Group(machine, evicted, cost)) : Optional.empty();
+        return free.fits(spec) ? Optional.of(new Victim.OnMachine(machine, evicted, cost)) : Optional.empty();
     }
 
     private List<Victim> victimsOfLowerPriority(Pipeline gang, SchedulableMachine machine) {
-        List<Victim> lower = new ArrayList<>(victims.on(machine.name()));
-        lower.removeIf(victim -> snapshot.priority(victim.job()).compareTo(snapshot.priority(gang)) >= 0);
-        if (lower.size() > 1) {
-            lower.sort(Comparator.comparingDouble(Victim::loss));
+        List<Victim> candidates = new ArrayList<>(victims.onMachine(machine.name()));
+        candidates.removeIf(victim -> snapshot.priority(victim.job()).compareTo(snapshot.priority(gang)) >= 0);
+        if (candidates.size() > 1) {
+            candidates.sort(Comparator.comparingDouble(Victim::loss));
         }
-        return lower;
+        return candidates;
     }
 }
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -17,24 +17,24 @@
 import org.spoolline.reconcile.StopRequests;
 
 /**
- * Machines that take tasks of one job only, for a bounded time: those preempted for it, and those kept for a gang that has
- * its image there.
+ * Machines that are each reserved for one job for a bounded time: machines cleared for a job by preemption, and
+ * machines that have the image of a gang which has to be placed again because its members' wait timed out.
  */
 final class Reservations implements MachineReservations {
     private final EventLoop loop;
     private final JobTable jobs;
     private final Map<String, Reservation> byJob = new LinkedHashMap<>();
-    /** Gangs for which machines with their image were cleared: once each, so that none waits for long. */
+    /** Gangs for which machines with their image have been cleared: at most once each, so that none waits for long. */
     private final Set<String> gangsPreemptedForImage = new HashSet<>();
 
-    /** A job's machines with the evictions that clear them, and the time until which they are reserved. */
+    /** A job's reserved machines, the evictions that clear them, and the time at which the reservation expires. */
     private record Reservation(Preemption preemption, long until) {
-        /** With one machine more, reserved at least until this time. */
-        Reservation with(String machine, long atLeastUntil) {
-            Set<String> more = new LinkedHashSet<>(preemption.machines());
-            more.add(machine);
+        /** Returns this reservation with one more machine and extended to at least {@code atLeastUntil}. */
+        Reservation withMachine(String machine, long atLeastUntil) {
+            Set<String> machines = new LinkedHashSet<>(preemption.machines());
+            machines.add(machine);
             return new Reservation(
-                    new Preemption(preemption.jobId(), more, preemption.evicted(), preemption.forImageLocality()),
+                    new Preemption(preemption.jobId(), machines, preemption.evicted(), preemption.forImageLocality()),
                     Math.max(until, atLeastUntil));
         }
     }
@@ -44,23 +44,23 @@
         this.jobs = jobs;
     }
 
-    /** Forgets the reservations of an earlier term. */
+    /** Removes all reservations; to be called at the start of a term. */
     void clear() {
         byJob.clear();
         gangsPreemptedForImage.clear();
     }
 
-    /** Forgets what is remembered of a job for as long as it lives, now that it is in a terminal state. */
+    /** Removes the record of a preemption for image locality, once the job has reached a terminal state. */
     void forget(String jobId) {
         gangsPreemptedForImage.remove(jobId);
     }
 
-    /** Gangs for which machines with their image were cleared in this term. */
+    /** Ids of the gangs for which machines with their image have been cleared in this term. */
     Set<String> gangsPreemptedForImage() {
         return gangsPreemptedForImage;
     }
 
-    /** Reserves the machines of a preemption for its job. */
+    /** Reserves the machines of a preemption for its job; replaces an earlier reservation of the job. */
     void reserve(Preemption preemption) {
         byJob.put(preemption.jobId(), new Reservation(preemption, loop.now() + Constants.Placement.RESERVATION_MS));
         if (preemption.forImageLocality()) {
@@ -69,28 +69,28 @@
     }
 
     @Override
-    public void keep(String jobId, String machine, long durationMs) {
+    public void reserve(String jobId, String machine, long durationMs) {
         long until = loop.now() + durationMs;
-        Reservation kept =
+        Reservation reservation =
                 byJob.getOrDefault(jobId, new Reservation(new Preemption(jobId, Set.of(), Map.of(), false), until));
-        byJob.put(jobId, kept.with(machine, until));
+        byJob.put(jobId, reservation.withMachine(machine, until));
     }
 
-    /** The machines that are reserved for a job. */
-    Set<String> machinesOf(String jobId) {
+    /** Names of the machines reserved for a job; empty when there are none. */
+    Set<String> machinesReservedFor(String jobId) {
         Reservation reservation = byJob.get(jobId);
         return reservation == null ? Set.of() : reservation.preemption().machines();
     }
 
-    /** The job for which a machine is reserved, by machine. */
-    Map<String, String> jobsByMachine() {
-        Map<String, String> reserved = new HashMap<>();
+    /** For each reserved machine, by name: the id of the job that it is reserved for. */
+    Map<String, String> reservedJobsByMachine() {
+        Map<String, String> jobsByMachine = new HashMap<>();
         byJob.forEach((jobId, reservation) ->
-                reservation.preemption().machines().forEach(machine -> reserved.put(machine, jobId)));
-        return reserved;
+                reservation.preemption().machines().forEach(machine -> jobsByMachine.put(machine, jobId)));
+        return jobsByMachine;
     }
 
-    /** Adds the names of all reserved machines to a collection. */
+    /** Adds the names of all reserved machines to {@code names}. */
     void addMachinesTo(Collection<String> names) {
         byJob.values()
                 .forEach(reservation -> names.addAll(reservation.preemption().machines()));
@@ -107,31 +107,34 @@
         }
     }
 
-    /** Ends the reservations of jobs that have started or reached a terminal state, and those whose time is up. */
+    /** Removes reservations of jobs that have started, were cancelled or reached a terminal state, and expired ones. */
     void expire() {
         byJob.values().removeIf(reservation -> {
             JobEntry entry = jobs.get(reservation.preemption().jobId());
             return entry == null
                     || entry.cancelled()
-                    || started(entry.committed(), reservation.preemption())
+                    || hasStarted(entry.committed(), reservation.preemption())
                     || loop.now() > reservation.until();
         });
     }
 
-    /** A gang has started once it is placed in full; an array, once no attempt has to leave a machine for it. */
-    private boolean started(Pipeline job, Preemption preemption) {
+    /**
+     * A gang counts as started once all its members are placed; an array, once none of the evicted attempts is left on
+     * the reserved machines.
+     */
+    private boolean hasStarted(Pipeline job, Preemption preemption) {
         if (job.spec().gang()) {
             return job.attempts().size() == job.spec().tasks();
         }
         for (AttemptId evicted : preemption.evicted().keySet()) {
-            if (onAny(preemption.machines(), evicted)) {
+            if (runsOnAny(preemption.machines(), evicted)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean onAny(Set<String> machines, AttemptId attemptId) {
+    private boolean runsOnAny(Set<String> machines, AttemptId attemptId) {
         for (String machine : machines) {
             if (jobs.attemptsOn(machine).containsKey(attemptId)) {
                 return true;
