--- a/src/main/java/org/spoolline/cli/Main.java
+++ b/src/main/java/org/spoolline/cli/Main.java
@@ -58,9 +58,8 @@
 
     private int execute(String[] args) {
         if (args.length == 2 && args[0].equals("--config")) {
-            // The platform starts each node with these arguments. This path avoids picocli: a class data archive does
-            // not
-            // accept its class file version, and loading it from the jar is slow on a small share of a core.
+            // The platform starts each node with these arguments. This path avoids picocli: a class data archive
+            // does not accept its class file version, and loading it from the jar is slow on a small share of a core.
             config = Path.of(args[1]);
             return serveOrCheck();
         }
--- a/src/main/java/org/spoolline/config/Constants.java
+++ b/src/main/java/org/spoolline/config/Constants.java
@@ -45,7 +45,7 @@
          * process takes half of it.
          */
         public static final int FULL_HEAP_PROCESS_MB = 200;
-        /** Minimum socket quota: serves workers and users beside the store, the cloud and the peers. */
+        /** Minimum socket quota that leaves sockets for workers and users beside the store, the cloud and the peers. */
         public static final int SOCKETS_NEEDED = 100;
         /** Maximum wait in ms for a known leader before users and workers are served: more than an election takes. */
         public static final long LEADER_DISCOVERY_TIMEOUT_MS = 1_500;
@@ -131,11 +131,11 @@
         public static final int TRANSACTION_BYTES_MAX = 56 * 1024;
         /** Maximum transactions of a leader in flight, so that one slow response does not block its cycles. */
         public static final int TRANSACTIONS_IN_FLIGHT_MAX = 4;
-        /** Estimated size in a transaction of a terminal record. */
+        /** Bytes that a transaction reserves for a terminal record. */
         public static final int TERMINAL_RECORD_BYTES = 512;
-        /** Estimated overhead in a transaction of a live value. */
+        /** Bytes that a transaction reserves per live value in addition to the value itself. */
         public static final int TRANSACTION_WRITE_OVERHEAD_BYTES = 128;
-        /** Conditions that a transaction may hold per write that it may hold, set by the protocol. */
+        /** Maximum conditions in a transaction as a multiple of its maximum writes, set by the protocol. */
         public static final int CONDITIONS_PER_WRITE = 4;
         /** Delay in ms after startup before a node records its version: other requests are more urgent. */
         public static final long VERSION_RECORD_DELAY_MS = 2_000;
@@ -175,7 +175,9 @@
          * launches.
          */
         public static final long RESPONSE_HOLD_MS = 600;
-        /** Maximum hold time in ms until a new leader has read the jobs: workers time out after 4 s. */
+        /**
+         * Maximum time in ms that responses are held until a new leader has read the jobs: workers time out after 4 s.
+         */
         public static final long RESPONSE_HOLD_UNTIL_LOADED_MS = 2_500;
         /** Maximum number of orders in a heartbeat response, which keeps its single line well below 64 KiB. */
         public static final int MAX_ORDERS = 400;
@@ -238,7 +240,7 @@
         public static final double EPSILON = 1e-6;
         /** Image fetch time in s below which image locality is ignored. */
         public static final double SHORT_FETCH_S = 6;
-        /** Share of gang_wait_s for a late gang member's image fetch while the other members wait. */
+        /** Maximum share of gang_wait_s that a late gang member's image fetch may take while the others wait. */
         public static final double GANG_COMPLETION_FETCH_SHARE = 0.5;
         /** Waiting time in ms after which an unstarted job is planned first: the largest have to start within 240 s. */
         public static final long STARVATION_MS = 90_000;
@@ -290,7 +292,7 @@
         public static final int PIPELINE_VERSION_LEGACY = 1;
         /**
          * Version of the value of a job that has dependencies, or is cancelled with unlisted attempts. Older
-         * controllers can't read it; they would start the tasks too early.
+         * controllers can't read it, which keeps them from starting the job's tasks too early.
          */
         public static final int PIPELINE_VERSION_DEPENDENT = 3;
         /** Maximum number of tasks of a job, set by the protocol. */
@@ -353,7 +355,7 @@
         public static final int SCALE_IN_BATCH_MAX = 100;
         /** Time in ms that an idle machine is kept: enough to place work that was just released or accepted. */
         public static final long IDLE_MS = 6_000;
-        /** Time in ms that an idle spot machine is kept: it is cheap, and the cloud may have no other later. */
+        /** Time in ms that an idle spot machine is kept: its price is low, and the cloud may have no other later. */
         public static final long IDLE_SPOT_MS = 20_000;
         /** Minimum time in ms that the cloud charges for a machine: releasing a younger one saves nothing. */
         public static final long MIN_CHARGE_MS = 60_000;
@@ -381,7 +383,7 @@
         public static final long READ_FAILURE_LOG_MS = 5_000;
         /** Time without a read of the jobs, in ms, that is logged at info: twice the usual interval. */
         public static final long READ_GAP_LOG_MS = 2_500;
-        /** Time in ms without a placement after which waiting jobs are logged: above a usual boot and image fetch. */
+        /** Time in ms without a placement after which a leader logs why jobs wait: above a usual boot and fetch. */
         public static final long STALL_MS = 30_000;
     }
 }
