--- a/src/main/java/org/spoolline/scheduler/CapacityScaler.java
+++ b/src/main/java/org/spoolline/scheduler/CapacityScaler.java
@@ -24,10 +24,10 @@
     /** Scales out for the plan's demands, and in where machines neither have work nor are expected to get any. */
     void scale(SchedulingPlan plan, CycleState state) {
         Set<String> machinesExpectingWork = machinesOfProposedAttempts();
-        machinesExpectingWork.addAll(plan.accumulating());
+        machinesExpectingWork.addAll(plan.accumulatingMachines());
         reservations.addMachinesTo(machinesExpectingWork);
         double recentDemandCores =
-                ClusterSnapshot.recentlyRequestedCores(state.workingJobs().values(), loop.timeOfDay());
+                ClusterSnapshot.recentlyRequestedCores(state.jobsToPlan().values(), loop.timeOfDay());
         autoscaler.reconcile(
                 plan.demands(),
                 recentDemandCores,
--- a/src/main/java/org/spoolline/scheduler/CyclePacer.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePacer.java
@@ -5,39 +5,41 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Decides when the next scheduling cycle runs: the later, the more values the last one had to write. The first cycle of a
- * term is deferred while the event loop is late, for up to one heartbeat interval: the events that are late then include
- * the first heartbeats of workers whose leases expire, and without them a cycle knows of no machine.
+ * Schedules scheduling cycles. The delay of a cycle grows with the number of values that the last cycle had to write.
+ *
+ * <p>While the event loop runs late, the first cycle of a term is deferred for up to one heartbeat interval. The
+ * delayed events then include the first heartbeats of workers whose leases are about to expire, and a cycle that runs
+ * before them would know no machine.
  */
 final class CyclePacer {
     private final EventLoop loop;
     private final Settings settings;
     private final Runnable cycle;
-    private boolean scheduled;
-    private long mayDeferUntil;
+    private boolean cycleScheduled;
+    private long deferralDeadline;
 
     CyclePacer(EventLoop loop, Settings settings, Runnable cycle) {
         this.loop = loop;
         this.settings = settings;
         this.cycle = cycle;
-        this.mayDeferUntil = loop.now();
+        this.deferralDeadline = loop.now();
     }
 
-    /** Begins a term. */
-    void begin() {
-        mayDeferUntil = loop.now() + settings.workers().heartbeatMs();
+    /** Starts a term, whose first cycle may be deferred for up to one heartbeat interval. */
+    void beginTerm() {
+        deferralDeadline = loop.now() + settings.workers().heartbeatMs();
     }
 
     /**
-     * Schedules a cycle, unless one is scheduled already.
+     * Schedules a cycle unless one is already scheduled.
      *
      * @param lastWriteCount number of values that the last cycle had to write
      */
     void request(int lastWriteCount) {
-        if (scheduled) {
+        if (cycleScheduled) {
             return;
         }
-        scheduled = true;
+        cycleScheduled = true;
         double load = Math.min(1.0, (double) lastWriteCount / Constants.Cycle.CYCLE_FULL_LOAD_WRITES);
         long minMs = settings.operator().cycleMinMs();
         long maxMs = settings.operator().cycleMaxMs();
@@ -45,17 +47,17 @@
     }
 
     private void schedule(long delayMs) {
-        long dueAt = loop.now() + delayMs;
-        loop.after(delayMs, () -> runOrDefer(loop.now() - dueAt));
+        long dueAtMs = loop.now() + delayMs;
+        loop.after(delayMs, () -> runOrDefer(loop.now() - dueAtMs));
     }
 
-    private void runOrDefer(long lateMs) {
-        if (lateMs > Constants.Cycle.CYCLE_LATE_MS && loop.now() < mayDeferUntil) {
-            schedule(lateMs);
+    private void runOrDefer(long latenessMs) {
+        if (latenessMs > Constants.Cycle.CYCLE_LATE_MS && loop.now() < deferralDeadline) {
+            schedule(latenessMs);
             return;
         }
-        scheduled = false;
-        mayDeferUntil = loop.now();
+        cycleScheduled = false;
+        deferralDeadline = loop.now();
         cycle.run();
     }
 }
--- a/src/main/java/org/spoolline/scheduler/JobStepper.java
+++ b/src/main/java/org/spoolline/scheduler/JobStepper.java
@@ -14,7 +14,10 @@
 import org.spoolline.reconcile.AttemptReconciler;
 import org.spoolline.reconcile.EarlierDecisions;
 
-/** The part of a scheduling cycle that steps each job by its dependencies and by what is proven about its attempts. */
+/**
+ * The phase of a scheduling cycle that computes the new value of each live job, from the state of its dependencies and
+ * from what heartbeats and lease expiry show about its attempts.
+ */
 final class JobStepper {
     private final EventLoop loop;
     private final JobTable jobs;
@@ -35,22 +38,25 @@
         this.dirtyAttempts = termState.dirtyAttempts();
     }
 
-    /** Begins a term: the first full reconciliation is due one interval from now. */
-    void begin() {
+    /** Starts a term; its first full reconciliation is due after {@link Constants.Cycle#FULL_RECONCILE_MS}. */
+    void beginTerm() {
         lastFullReconcileAt = loop.now();
     }
 
-    /** Steps every live job. */
-    CycleState stepAll() {
+    /** Computes the new value of each live job; returns the jobs to plan for and the values to write. */
+    CycleState stepJobs() {
         boolean fullReconcile = startFullReconcileIfDue();
         CycleState state = new CycleState();
         for (JobEntry entry : jobs.entries()) {
-            step(entry, fullReconcile, state);
+            stepJob(entry, fullReconcile, state);
         }
         return state;
     }
 
-    /** The passing of time is a proof too (of lease expiry), and no heartbeat marks it: every attempt has its turn. */
+    /**
+     * Returns true, and restarts the interval, when this cycle has to reconcile all attempts. Lease expiry also shows
+     * that an attempt has terminated, but no heartbeat marks such an attempt as dirty.
+     */
     private boolean startFullReconcileIfDue() {
         boolean due = loop.now() - lastFullReconcileAt >= Constants.Cycle.FULL_RECONCILE_MS;
         if (due) {
@@ -59,7 +65,7 @@
         return due;
     }
 
-    private void step(JobEntry entry, boolean fullReconcile, CycleState state) {
+    private void stepJob(JobEntry entry, boolean fullReconcile, CycleState state) {
         if (entry.inFlight()) {
             state.addJob(entry.proposed());
         } else if (entry.committed().hasUnsatisfiedDependencies() && !entry.cancelled()) {
@@ -70,29 +76,30 @@
     }
 
     private void stepByDependencies(JobEntry entry, CycleState state) {
-        if (dependencies.verdictOf(entry.committed()) == DependencyTracker.Verdict.UNSATISFIED) {
+        if (dependencies.statusOf(entry.committed()) == DependencyTracker.Status.UNSATISFIED) {
             return;
         }
-        Pipeline next = dependencies.step(entry.committed());
-        state.addJob(next);
-        state.addWrite(entry, next);
+        Pipeline proposed = dependencies.applyStatus(entry.committed());
+        state.addJob(proposed);
+        state.addWrite(entry, proposed);
     }
 
     private void reconcile(JobEntry entry, boolean fullReconcile, CycleState state) {
         Pipeline committed = entry.committed();
         String jobId = committed.jobId();
-        Collection<Attempt> due =
-                fullReconcile || needsFullReconcile(entry) ? committed.attempts() : dirtyAttempts.get(jobId);
-        boolean unaffected = due.isEmpty() && !committed.cancelled();
-        Optional<Pipeline> next =
-                unaffected ? Optional.empty() : reconciler.tryReconcile(committed, due, earlierDecisions(entry));
-        state.addJob(next.orElse(committed));
-        if (next.isPresent()) {
-            counters.count(Event.ATTEMPT_RELEASED, jobs.release(entry, next.get(), due));
-            state.addWrite(entry, next.get());
-            dirtyAttempts.mark(jobId, due);
+        Collection<Attempt> attemptsToReconcile =
+                fullReconcile || needsFullReconcile(entry) ? committed.attempts() : dirtyAttempts.attemptsOf(jobId);
+        boolean nothingToReconcile = attemptsToReconcile.isEmpty() && !committed.cancelled();
+        Optional<Pipeline> proposed = nothingToReconcile
+                ? Optional.empty()
+                : reconciler.tryReconcile(committed, attemptsToReconcile, earlierDecisions(entry));
+        state.addJob(proposed.orElse(committed));
+        if (proposed.isPresent()) {
+            counters.count(Event.ATTEMPT_RELEASED, jobs.release(entry, proposed.get(), attemptsToReconcile));
+            state.addWrite(entry, proposed.get());
+            dirtyAttempts.markDirty(jobId, attemptsToReconcile);
         } else {
-            dirtyAttempts.unmark(jobId);
+            dirtyAttempts.markClean(jobId);
         }
     }
 
@@ -110,7 +117,10 @@
         };
     }
 
-    /** A gang and a job with attempts to be stopped depend on more than the status of single attempts. */
+    /**
+     * True when all attempts of the job have to be reconciled together: for gangs, cancelled jobs and jobs with
+     * attempts to stop, the new value does not depend on the dirty attempts alone.
+     */
     private boolean needsFullReconcile(JobEntry entry) {
         return entry.committed().spec().gang()
                 || entry.cancelled()
--- a/src/main/java/org/spoolline/scheduler/MachineEvictions.java
+++ b/src/main/java/org/spoolline/scheduler/MachineEvictions.java
@@ -9,7 +9,7 @@
 import org.spoolline.net.EventLoop;
 import org.spoolline.reconcile.AttemptReconciler;
 
-/** Starts what a plan has decided about machines that tasks have to leave: preemption and consolidation. */
+/** Starts the evictions of a plan, which are preemptions and evacuations for consolidation. */
 final class MachineEvictions {
     private static final Logger LOG = LoggerFactory.getLogger(MachineEvictions.class);
 
@@ -28,20 +28,20 @@
         this.notifier = termState.notifier();
     }
 
-    /** Begins a term: the first consolidation is due one interval from now. */
-    void begin() {
+    /** Starts a term; its first consolidation is due after {@link Constants.Placement#CONSOLIDATION_INTERVAL_MS}. */
+    void beginTerm() {
         lastConsolidationAt = loop.now();
     }
 
-    /** True when the tasks of machines evacuated earlier have had the time to move. */
+    /** True when the consolidation interval has passed, in which the tasks of evacuated machines had time to move. */
     boolean mayConsolidate() {
         return loop.now() - lastConsolidationAt >= Constants.Placement.CONSOLIDATION_INTERVAL_MS;
     }
 
-    /** Starts the plan's preemptions and evacuations. */
-    void start(SchedulingPlan plan) {
+    /** Starts the preemptions and evacuations of the plan. */
+    void startEvictions(SchedulingPlan plan) {
         startPreemptions(plan.preemptions());
-        startEvacuation(plan.evacuated());
+        startEvacuation(plan.machinesToEvacuate());
     }
 
     private void startPreemptions(List<Preemption> preemptions) {
@@ -57,12 +57,12 @@
         }
     }
 
-    private void startEvacuation(Set<String> evacuated) {
-        if (evacuated.isEmpty()) {
+    private void startEvacuation(Set<String> machinesToEvacuate) {
+        if (machinesToEvacuate.isEmpty()) {
             return;
         }
         lastConsolidationAt = loop.now();
-        LOG.info("Consolidating: evacuated={}", evacuated.size());
-        evacuated.forEach(name -> machines.get(name).evacuate());
+        LOG.info("Consolidating: evacuated={}", machinesToEvacuate.size());
+        machinesToEvacuate.forEach(name -> machines.get(name).evacuate());
     }
 }
--- a/src/main/java/org/spoolline/scheduler/QuotaAudit.java
+++ b/src/main/java/org/spoolline/scheduler/QuotaAudit.java
@@ -18,8 +18,9 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Compares what the machines' heartbeats list with the teams' limits. Placement and launching keep the limits; this is the
- * check, by other knowledge, that they do. It changes nothing.
+ * Compares the resource usage that machines report in their heartbeats with the limits of the teams. Placement and
+ * launching enforce the limits by the stored attempts; this audit checks the result against independent data. It only
+ * counts and logs violations.
  */
 final class QuotaAudit {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaAudit.class);
@@ -39,47 +40,50 @@
         this.counters = context.counters();
     }
 
-    /** Audits all teams, unless that was done a short time ago: it looks at every task of every machine. */
+    /**
+     * Audits all teams, at most once in {@link Constants.Cycle#FULL_RECONCILE_MS}, because an audit iterates over all
+     * tasks of all machines.
+     */
     void runIfDue() {
         if (loop.now() - lastAuditAt < Constants.Cycle.FULL_RECONCILE_MS) {
             return;
         }
         lastAuditAt = loop.now();
-        listedUsage().forEach(this::compare);
+        reportedUsage().forEach(this::checkLimit);
     }
 
-    private Map<String, TeamUsage> listedUsage() {
+    private Map<String, TeamUsage> reportedUsage() {
         Map<String, TeamUsage> usageByTeam = new HashMap<>();
         for (Machine machine : machines.all()) {
             if (!machine.terminated() && loop.now() - machine.lastHeartbeatAt() <= settings.leaseExpiryMs()) {
-                machine.tasks().forEach((attemptId, status) -> addIfOnMachine(usageByTeam, attemptId, status));
+                machine.tasks().forEach((attemptId, status) -> addUsage(usageByTeam, attemptId, status));
             }
         }
         return usageByTeam;
     }
 
-    private void addIfOnMachine(Map<String, TeamUsage> usageByTeam, AttemptId attemptId, TaskStatus status) {
-        boolean onMachine =
+    private void addUsage(Map<String, TeamUsage> usageByTeam, AttemptId attemptId, TaskStatus status) {
+        boolean usesResources =
                 status.phase() != TaskStatus.Phase.EXITED && status.phase() != TaskStatus.Phase.FETCHING_IMAGE;
         JobEntry job = jobs.get(attemptId.jobId());
-        if (onMachine && job != null) {
+        if (usesResources && job != null) {
             Pipeline committed = job.committed();
             usageByTeam
-                    .computeIfAbsent(committed.spec().team(), unseen -> new TeamUsage())
+                    .computeIfAbsent(committed.spec().team(), name -> new TeamUsage())
                     .add(committed.spec(), 1);
         }
     }
 
-    private void compare(String name, TeamUsage listed) {
-        Settings.Team team = settings.teams().get(name);
-        if (team != null && !listed.isWithinLimit(team)) {
+    private void checkLimit(String teamName, TeamUsage reported) {
+        Settings.Team team = settings.teams().get(teamName);
+        if (team != null && !reported.isWithinLimit(team)) {
             counters.count(Event.TEAM_EXCEEDS_QUOTA);
             LOG.error(
                     "Team over its limit by heartbeats: team={} cores={} limit={} stored_cores={}",
-                    name,
-                    listed.cores(),
+                    teamName,
+                    reported.cores(),
                     team.maxCores(),
-                    jobs.coresUsed(name));
+                    jobs.coresUsed(teamName));
         }
     }
 }
--- a/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/ConsolidationPlannerTest.java
@@ -18,7 +18,7 @@
 
     /** Adds a machine that has run the only task of a new job for 60 s. */
     private void addMachineRunning(String name, double cores, double checkpointS) throws Exception {
-        fixture.running(
+        fixture.addMachineRunning(
                         name,
                         job("run-00000" + fixture.machines.size(), 1, cores, checkpointS, Simulation.START_OF_DAY),
                         60)
@@ -26,7 +26,7 @@
     }
 
     private Set<String> machinesToEvacuate(boolean mayConsolidate) {
-        return fixture.plan(Set.of(), mayConsolidate).evacuated();
+        return fixture.plan(Set.of(), mayConsolidate).machinesToEvacuate();
     }
 
     @Test
--- a/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
@@ -19,7 +19,8 @@
 
     /** Adds a machine that is fully used by one task with checkpoints, which has run for {@code ranS} seconds. */
     private void addFullMachine(String name, double ranS) throws Exception {
-        fixture.running(name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
+        fixture.addMachineRunning(
+                name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
     }
 
     private Preemption preemptionFor(Pipeline job) {
--- a/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
+++ b/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
@@ -20,38 +20,42 @@
 import org.spoolline.pipeline.Submission;
 import org.spoolline.pipeline.SubmissionCodec;
 
-/** What the version in production wrote is read, and what it may have to read is written as it did. */
+/**
+ * Compatibility with the production version during a rolling upgrade: this version must read the values that production
+ * wrote, and must write the values that production may read in the same form.
+ */
 class ProductionFormsTest {
     private static JsonNode value(String name) {
         return Json.read(ProductionForms.bytes(name));
     }
 
     @Test
-    void aNewJobWithoutDependenciesIsStoredAsInProduction() throws Exception {
+    void encodesNewJobWithoutDependenciesAsProductionVersion() throws Exception {
         Submission job = SubmissionCodec.parse(value("accepted.json").path("job"));
         Pipeline accepted = Pipeline.accept(job, SubmissionCodec.encode(job), 1_700_000_000_000L);
         assertEquals(value("accepted.json"), Json.read(Json.bytes(accepted.encode())));
     }
 
     @Test
-    void aWideValueIsReadWithEveryAttemptAndWrittenBackTheSame() {
+    void roundTripsWideValueWithAllAttempts() {
         Pipeline wide = Pipeline.decode(value("wide.json"));
-        Set<String> listed = new TreeSet<>();
+        Set<String> decodedAttempts = new TreeSet<>();
         for (Attempt attempt : wide.attempts()) {
-            listed.add(attempt.task() + " " + attempt.number() + " " + attempt.machine() + " " + attempt.incarnation());
+            decodedAttempts.add(
+                    attempt.task() + " " + attempt.number() + " " + attempt.machine() + " " + attempt.incarnation());
         }
         Set<String> expected =
                 new TreeSet<>(new String(ProductionForms.bytes("wide-attempts.txt"), StandardCharsets.UTF_8)
                         .lines()
                         .toList());
-        assertEquals(expected, listed);
+        assertEquals(expected, decodedAttempts);
         assertEquals(215, wide.completedTasks());
         assertTrue(wide.avoids("m-000009"));
         assertEquals(value("wide.json"), Json.read(Json.bytes(wide.encode())));
     }
 
     @Test
-    void aCancelledValueIsReadAndWrittenBackTheSame() {
+    void roundTripsCancelledValue() {
         Pipeline cancelled = Pipeline.decode(value("wide-cancelled.json"));
         assertTrue(cancelled.cancelled());
         assertEquals(1285, cancelled.attempts().size());
@@ -59,7 +63,7 @@
     }
 
     @Test
-    void terminalRecordsAndPeerStatusesAreRead() {
+    void decodesTerminalRecordsAndPeerStatus() {
         assertEquals(new TerminalRecord(true, 1800), TerminalRecord.decode(value("final-done.json")));
         assertEquals(new TerminalRecord(false, 3), TerminalRecord.decode(value("final-aborted.json")));
         assertEquals(
@@ -67,18 +71,21 @@
                 PeerCodec.decodeStatus(ProductionForms.bytes("peer-status.cbor")));
     }
 
-    /** Fields of a later version are ignored; they are lost when the value is written again. */
+    /** Fields that a later version has added are ignored, and are lost when this version rewrites the value. */
     @Test
-    void unknownFieldsOfAStoredValueAreIgnored() {
+    void ignoresUnknownFieldsOfStoredValue() {
         ObjectNode later = (ObjectNode) value("wide.json");
         later.put("later", 1);
         assertEquals(
                 value("wide.json"), Json.read(Json.bytes(Pipeline.decode(later).encode())));
     }
 
-    /** Production reads versions up to 2 and rejects others: a job with open dependencies must not look like one that may start. */
+    /**
+     * Production does not support dependencies and rejects values of a version above 2. A job with unsatisfied
+     * dependencies is therefore stored as version 3; as version 2, production would launch its tasks too early.
+     */
     @Test
-    void onlyJobsThatProductionCouldNotServeAreStoredInAFormThatItRejects() throws Exception {
+    void usesVersionUnknownToProductionOnlyForUnsatisfiedDependencies() throws Exception {
         ObjectNode body = value("accepted.json").path("job").deepCopy();
         body.putArray("waitsOn").add("run-000001").add("run-000002");
         Submission job = SubmissionCodec.parse(body);
