--- a/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
+++ b/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
@@ -18,13 +18,14 @@
 import org.xnio.XnioWorker;
 
 /**
- * Serves a few requests on loopback, with canned responses in place of the key-value store and the cloud, then ends. The
- * build runs it to record which classes a serving node loads, for the class data archive that shortens every start.
+ * Runs a node on loopback, sends it a few requests and stops. Canned responses replace the key-value store and the
+ * cloud. The build runs this class to record the classes that a serving node loads; the class data archive with these
+ * classes shortens every start.
  */
 final class ClassArchiveTraining {
     private static final int TIMEOUT_S = 20;
     private static final long HEARTBEAT_INTERVAL_MS = 100;
-    /** Ms for which a watch stays open, as that of a key-value store in which nothing changes. */
+    /** Time in ms after which a watch is answered, as by a key-value store in which nothing changes. */
     private static final long WATCH_MS = 500;
 
     private final CountDownLatch finished = new CountDownLatch(1);
@@ -40,22 +41,22 @@
         servicesAddress = freeAddress();
     }
 
-    /** Runs the training; true when every heartbeat was answered in time. */
+    /** Runs the training; returns whether the node answered every heartbeat in time. */
     boolean run() throws IOException, SettingsException, InterruptedException {
         Settings settings = settings();
         XnioWorker worker = ProcessNetwork.createWorker();
-        network = ProcessNetwork.on(worker, settings);
+        network = ProcessNetwork.create(worker, settings);
         network.server().listen(servicesAddress, this::serveServices);
         NodeProcess.start(settings, worker);
         worker.getIoThread().execute(this::scheduleRequests);
         return finished.await(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Written to a file and read as in a real start, so that the classes that it takes are recorded too. */
+    /** Writes a settings file and loads it as at a real start, so that the classes used for that are recorded too. */
     private Settings settings() throws IOException, SettingsException {
         Path file = Files.createTempFile("spoolline", ".toml");
         file.toFile().deleteOnExit();
-        Files.writeString(file, TrainingWire.settings(nodeAddress, internalAddress, servicesAddress));
+        Files.writeString(file, TrainingMessages.settings(nodeAddress, internalAddress, servicesAddress));
         return SettingsFile.load(file).settings();
     }
 
@@ -66,9 +67,9 @@
     }
 
     private void scheduleRequests() {
-        requestAfter(600, "POST", "/submissions", TrainingWire.submission());
-        requestAfter(700, "GET", "/submissions/" + TrainingWire.JOB_ID, null);
-        requestAfter(750, "POST", "/submissions/" + TrainingWire.UNKNOWN_JOB_ID + "/abort", new byte[0]);
+        requestAfter(600, "POST", "/submissions", TrainingMessages.submission());
+        requestAfter(700, "GET", "/submissions/" + TrainingMessages.JOB_ID, null);
+        requestAfter(750, "POST", "/submissions/" + TrainingMessages.UNKNOWN_JOB_ID + "/abort", new byte[0]);
         requestAfter(800, "GET", "/healthz", null);
         network.loop().after(900, this::sendHeartbeat);
     }
@@ -77,8 +78,8 @@
         network.loop().after(delayMs, () -> call(method, path, body, reply -> {}));
     }
 
-    private void call(String method, String path, byte[] body, Consumer<Http.Reply> done) {
-        network.caller().call(nodeAddress, method, path, body, Constants.Store.STORE_TIMEOUT_MS, done);
+    private void call(String method, String path, byte[] body, Consumer<Http.Reply> callback) {
+        network.caller().call(nodeAddress, method, path, body, Constants.Store.STORE_TIMEOUT_MS, callback);
     }
 
     private void sendHeartbeat() {
@@ -88,14 +89,14 @@
             return;
         }
         boolean taskCompleted = heartbeats > Constants.Process.TRAINING_HEARTBEATS / 2;
-        byte[] heartbeat = TrainingWire.heartbeat(heartbeats, taskCompleted);
+        byte[] heartbeat = TrainingMessages.heartbeat(heartbeats, taskCompleted);
         call("POST", "/checkin", heartbeat, reply -> network.loop().after(HEARTBEAT_INTERVAL_MS, this::sendHeartbeat));
     }
 
-    private void serveServices(Http.Request request, Consumer<Http.Response> answer) {
-        Optional<String> body = TrainingWire.serviceResponse(request.method(), request.path());
+    private void serveServices(Http.Request request, Consumer<Http.Response> responder) {
+        Optional<String> body = TrainingMessages.serviceResponse(request.method(), request.path());
         byte[] bytes = body.orElse("").getBytes(StandardCharsets.UTF_8);
-        long delayMs = request.path().equals(TrainingWire.WATCH) ? WATCH_MS : 0;
-        network.loop().after(delayMs, () -> answer.accept(Http.Response.of(body.isPresent() ? 200 : 404, bytes)));
+        long delayMs = request.path().equals(TrainingMessages.WATCH) ? WATCH_MS : 0;
+        network.loop().after(delayMs, () -> responder.accept(Http.Response.of(body.isPresent() ? 200 : 404, bytes)));
     }
 }
--- a/src/main/java/org/spoolline/config/SettingsTable.java
+++ b/src/main/java/org/spoolline/config/SettingsTable.java
@@ -9,8 +9,9 @@
 import java.util.regex.Pattern;
 
 /**
- * One table of the settings file. A required field that is missing or unusable is rejected; any other such field is replaced
- * by the given default. Both are added to the findings, and reading goes on, so that all of them are reported at once.
+ * One table of the settings file. A required field that is missing or invalid is added to the findings as an error; any
+ * other such field is replaced by the given default, and the replacement is added to the findings. No method throws, so
+ * that all errors are reported together.
  */
 final class SettingsTable {
     private static final Pattern ADDRESS = Pattern.compile("[0-9A-Za-z_.-]+:[0-9]{1,5}");
@@ -28,21 +29,21 @@
         this.findings = findings;
     }
 
-    /** The table that is the whole file. */
+    /** Returns the root table of the file. */
     static SettingsTable root(JsonNode file, SettingsFindings findings) {
         return new SettingsTable(file, "", findings);
     }
 
-    /** A table within this one; when it is missing or no table, all of its fields count as missing. */
+    /** Returns a nested table; if it is missing or not a table, all its fields count as missing. */
     SettingsTable table(String name) {
-        JsonNode inner = table.path(name);
-        if (!inner.isMissingNode() && !inner.isObject()) {
-            findings.replace(path + name, quote(inner), "an empty table");
+        JsonNode nested = table.path(name);
+        if (!nested.isMissingNode() && !nested.isObject()) {
+            findings.addReplacement(path + name, quote(nested), "an empty table");
         }
-        return new SettingsTable(inner.isObject() ? inner : MissingNode.getInstance(), path + name + ".", findings);
+        return new SettingsTable(nested.isObject() ? nested : MissingNode.getInstance(), path + name + ".", findings);
     }
 
-    /** The tables of an array; an element that is no table counts as an empty one. */
+    /** Returns the tables of an array; an element that is not a table counts as an empty table. */
     List<SettingsTable> tables(String name) {
         List<SettingsTable> all = new ArrayList<>();
         for (JsonNode element : table.path(name)) {
@@ -51,115 +52,119 @@
         return all;
     }
 
-    /** Adds each field that is not among the known ones to the findings. Returns this table. */
-    SettingsTable checkNames(Set<String> known) {
+    /** Adds each field that is not in {@code knownFields} to the findings; returns this table. */
+    SettingsTable reportUnknownFields(Set<String> knownFields) {
         for (Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            if (!known.contains(name)) {
-                findings.unknown(path + name);
+            if (!knownFields.contains(name)) {
+                findings.addUnknownField(path + name);
             }
         }
         return this;
     }
 
-    /** True when the field is there, whatever it holds. */
+    /** Returns whether the field exists, with any value. */
     boolean has(String name) {
         return table.has(name);
     }
 
-    /** True when the field is there and is a table. */
+    /** Returns whether the field exists and is a table. */
     boolean hasTable(String name) {
         return table.path(name).isObject();
     }
 
-    /** A text that is not empty; rejected otherwise. */
+    /** Reads a non-empty string; adds an error and returns an empty string if there is none. */
     String requiredText(String name) {
         JsonNode value = table.path(name);
         if (isText(value)) {
             return value.asText();
         }
-        findings.reject("settings need the text " + path + name + ", which is " + quote(value));
+        findings.addError("settings need the text " + path + name + ", which is " + quote(value));
         return "";
     }
 
-    /** A text of the form host:port; rejected otherwise. */
+    /** Reads a string of the form host:port; adds an error if there is none or if it has another form. */
     String requiredAddress(String name) {
         String value = requiredText(name);
         boolean valid = ADDRESS.matcher(value).matches()
                 && Integer.parseInt(value.substring(value.indexOf(':') + 1)) <= MAX_PORT;
         if (!value.isEmpty() && !valid) {
-            findings.reject("settings field " + path + name + " is not host:port: " + value);
+            findings.addError("settings field " + path + name + " is not host:port: " + value);
         }
         return value;
     }
 
-    /** A number of 0 or more; rejected otherwise. */
+    /** Reads a number of at least 0; adds an error and returns 0 if there is none. */
     double requiredNumber(String name) {
         JsonNode value = table.path(name);
-        if (isAmount(value)) {
+        if (isNonNegativeNumber(value)) {
             return value.asDouble();
         }
-        findings.reject("settings need a number of 0 or more at " + path + name + ", which is " + quote(value));
+        findings.addError("settings need a number of 0 or more at " + path + name + ", which is " + quote(value));
         return 0;
     }
 
-    /** A positive number of seconds, as milliseconds; rejected otherwise. */
+    /** Reads a positive number of seconds, returned in milliseconds; adds an error if there is none. */
     long requiredMillis(String name) {
         double seconds = requiredNumber(name);
         long millis = Math.round(seconds * MILLIS_PER_S);
-        if (isAmount(table.path(name)) && millis <= 0) {
-            findings.reject("settings need a number over 0 at " + path + name + ", which is " + seconds);
+        if (isNonNegativeNumber(table.path(name)) && millis <= 0) {
+            findings.addError("settings need a number over 0 at " + path + name + ", which is " + seconds);
         }
         return millis;
     }
 
-    /** A text that is not empty, or the default. */
+    /** Reads a non-empty string, or returns the default. */
     String text(String name, String defaultValue) {
         JsonNode value = table.path(name);
-        return isText(value) ? value.asText() : replace(name, value, defaultValue);
+        return isText(value) ? value.asText() : useDefault(name, value, defaultValue);
     }
 
-    /** A text that may be left out; null when it is missing or unusable. */
+    /** Reads an optional non-empty string; null if it is missing or invalid. */
     String optionalText(String name) {
         return isAbsent(table.path(name)) ? null : text(name, null);
     }
 
-    /** A number of 0 or more, or the default. */
+    /** Reads a number of at least 0, or returns the default. */
     double number(String name, double defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) ? value.asDouble() : replace(name, value, defaultValue);
+        return isNonNegativeNumber(value) ? value.asDouble() : useDefault(name, value, defaultValue);
     }
 
-    /** A number of 0 or more that may be left out; null when it is missing or unusable. */
+    /** Reads an optional number of at least 0; null if it is missing or invalid. */
     Double optionalNumber(String name) {
         JsonNode value = table.path(name);
-        if (isAbsent(value) || isAmount(value)) {
+        if (isAbsent(value) || isNonNegativeNumber(value)) {
             return isAbsent(value) ? null : Double.valueOf(value.asDouble());
         }
-        return replace(name, value, null);
+        return useDefault(name, value, null);
     }
 
-    /** A positive number, or the default. */
-    double positive(String name, double defaultValue) {
+    /** Reads a positive number, or returns the default. */
+    double positiveNumber(String name, double defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) && value.asDouble() > 0 ? value.asDouble() : replace(name, value, defaultValue);
+        return isNonNegativeNumber(value) && value.asDouble() > 0
+                ? value.asDouble()
+                : useDefault(name, value, defaultValue);
     }
 
-    /** A number of 1 or more without its fraction, or the default. */
+    /** Reads a number of at least 1 and drops its fraction, or returns the default. */
     int count(String name, int defaultValue) {
         JsonNode value = table.path(name);
-        return isAmount(value) && value.asDouble() >= 1 ? (int) value.asDouble() : replace(name, value, defaultValue);
+        return isNonNegativeNumber(value) && value.asDouble() >= 1
+                ? (int) value.asDouble()
+                : useDefault(name, value, defaultValue);
     }
 
-    /** A positive number of seconds, as milliseconds, or the default in milliseconds. */
+    /** Reads a positive number of seconds and returns it in milliseconds, or returns the default in milliseconds. */
     long millis(String name, long defaultValue) {
         JsonNode value = table.path(name);
-        long millis = isAmount(value) ? Math.round(value.asDouble() * MILLIS_PER_S) : 0;
-        return millis > 0 ? millis : replace(name, value, defaultValue);
+        long millis = isNonNegativeNumber(value) ? Math.round(value.asDouble() * MILLIS_PER_S) : 0;
+        return millis > 0 ? millis : useDefault(name, value, defaultValue);
     }
 
-    private <T> T replace(String name, JsonNode found, T used) {
-        findings.replace(path + name, quote(found), used);
+    private <T> T useDefault(String name, JsonNode found, T used) {
+        findings.addReplacement(path + name, quote(found), used);
         return used;
     }
 
@@ -171,7 +176,7 @@
         return value.isTextual() && !value.asText().isEmpty();
     }
 
-    private static boolean isAmount(JsonNode value) {
+    private static boolean isNonNegativeNumber(JsonNode value) {
         return value.isNumber() && value.asDouble() >= 0 && !Double.isInfinite(value.asDouble());
     }
 
--- a/src/main/java/org/spoolline/scheduler/CyclePacer.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePacer.java
@@ -40,7 +40,7 @@
             return;
         }
         cycleScheduled = true;
-        double load = Math.min(1.0, (double) lastWriteCount / Constants.Cycle.CYCLE_FULL_BATCH);
+        double load = Math.min(1.0, (double) lastWriteCount / Constants.Cycle.CYCLE_FULL_LOAD_WRITES);
         long minMs = settings.operator().cycleMinMs();
         long maxMs = settings.operator().cycleMaxMs();
         schedule(minMs + (long) (load * (maxMs - minMs)));
--- a/src/test/java/org/spoolline/PackageDependenciesTest.java
+++ b/src/test/java/org/spoolline/PackageDependenciesTest.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Packages depend on one another in one direction only, so that each can be read without those above it. */
+/** Dependencies between packages have one direction, so that each package can be understood without those above it. */
 class PackageDependenciesTest {
     private static final String ROOT = "org.spoolline";
 
     /**
-     * The packages from bottom to top. A package may depend on those of the lines before its own, and on none of its
-     * own line; "" is the package that wires the controller together.
+     * The layers from bottom to top. A package may depend on packages of lower layers only, not on others of its own
+     * layer. The empty name is the root package, which creates and connects the components of the controller.
      */
     private static final List<List<String>> LAYERS = List.of(
             List.of("codec"),
@@ -36,11 +36,11 @@
             .importPackages(ROOT);
 
     @Test
-    void noPackageDependsOnOneAboveIt() {
+    void packagesDependOnLowerLayersOnly() {
         LayeredArchitecture layers = layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage(ROOT + "..")
                 .ensureAllClassesAreContainedInArchitecture();
-        List<String> below = new ArrayList<>();
+        List<String> lowerLayers = new ArrayList<>();
         for (List<String> layer : LAYERS) {
             for (String name : layer) {
                 String identifier = name.isEmpty() ? ROOT : ROOT + "." + name + "..";
@@ -48,20 +48,20 @@
             }
         }
         for (List<String> layer : LAYERS) {
-            String[] lower = below.toArray(new String[0]);
+            String[] lowerLayerNames = lowerLayers.toArray(new String[0]);
             for (String name : layer) {
-                layers = lower.length == 0
+                layers = lowerLayerNames.length == 0
                         ? layers.whereLayer(layerName(name)).mayNotAccessAnyLayer()
-                        : layers.whereLayer(layerName(name)).mayOnlyAccessLayers(lower);
+                        : layers.whereLayer(layerName(name)).mayOnlyAccessLayers(lowerLayerNames);
             }
-            layer.forEach(name -> below.add(layerName(name)));
+            layer.forEach(name -> lowerLayers.add(layerName(name)));
         }
         layers.check(CLASSES);
     }
 
-    /** Also says which classes close a cycle, which the order of the layers alone does not. */
+    /** Reports the classes that form a cycle, which the check of the layers does not. */
     @Test
-    void packagesFormNoCycle() {
+    void packagesAreFreeOfCycles() {
         slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(CLASSES);
     }
 
