--- a/src/test/java/org/spoolline/simulation/CloudFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/CloudFaultsTest.java
@@ -57,9 +57,9 @@
         simulation.network.setLink(leader, Network.CLOUD, LinkState.CONNECTED);
         simulation.run(30);
         assertEquals(leader, simulation.leader());
-        SimulatedJob second = submitForSmallMachinesInZoneA(simulation, 20);
+        SimulatedJob laterJob = submitForSmallMachinesInZoneA(simulation, 20);
         simulation.run(90);
-        assertEquals("done", second.status());
+        assertEquals("done", laterJob.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
 
--- a/src/test/java/org/spoolline/simulation/ConcurrentLeaderFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentLeaderFailuresTest.java
@@ -25,7 +25,7 @@
     @MethodSource(Seeds.EACH)
     void tenLeaderChangesInTwoMinutesWithAnOutage(int seed) {
         runScenario(seed, 520, simulation -> {
-            long before = simulation.store.value("token").path("n").asLong();
+            long tokenBefore = simulation.store.value("token").path("n").asLong();
             for (int i = 0; i < 6; i++) {
                 submitLongJob(simulation, i % 2 == 0 ? "blue" : "red", 3, 2);
             }
@@ -42,7 +42,7 @@
             simulation.at(
                     125_000,
                     () -> assertTrue(
-                            simulation.store.value("token").path("n").asLong() >= before + 9,
+                            simulation.store.value("token").path("n").asLong() >= tokenBefore + 9,
                             "expected at least 9 leader changes"));
         });
     }
@@ -54,8 +54,8 @@
             submitLongJob(simulation, "blue", 6, 2);
             submitLongJob(simulation, "red", 4, 2);
             simulation.network.slowDown(Network.KEY_VALUE_STORE);
-            String first = leader(simulation);
-            simulation.at(8_000, () -> simulation.store.rejectHost(first, 14));
+            String leader = leader(simulation);
+            simulation.at(8_000, () -> simulation.store.rejectHost(leader, 14));
             simulation.at(8_500, () -> assertTrue(cancelEveryNth(simulation, 2) > 0));
             simulation.at(10_000, () -> simulation.store.outage(55));
             simulation.at(30_000, () -> cancelEveryNth(simulation, 2));
@@ -74,12 +74,12 @@
             jobs.add(submitLongJob(simulation, "red", 8, 2));
         }
         simulation.run(40);
-        double red = liveWorkers(simulation).stream()
+        double redTeamCores = liveWorkers(simulation).stream()
                         .flatMap(w -> w.tasks().stream())
                         .filter(SimulatedTask::isAlive)
                         .count()
                 * 2.0;
-        assertEquals(32, red, "seed " + seed + ": expected the team at its quota of 32 cores");
+        assertEquals(32, redTeamCores, "seed " + seed + ": expected the team at its quota of 32 cores");
         simulation.controllers.crashFor(leader(simulation), 7);
         for (FakeWorker worker : liveWorkers(simulation).subList(0, 2)) {
             setLinksToControllers(simulation, worker.name, LinkState.DELAYED);
@@ -107,16 +107,16 @@
             jobs.add(submitLongJob(simulation, i % 2 == 0 ? "blue" : "red", 4, 2));
         }
         simulation.run(40);
-        String old = leader(simulation);
-        setLinksToControllers(simulation, old, LinkState.LOST);
-        simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.LOST);
+        String isolatedLeader = leader(simulation);
+        setLinksToControllers(simulation, isolatedLeader, LinkState.LOST);
+        simulation.network.setLink(isolatedLeader, Network.KEY_VALUE_STORE, LinkState.LOST);
         simulation.at(7_000, () -> {
-            assertFalse(old.equals(simulation.leader()), "expected a new leader");
+            assertFalse(isolatedLeader.equals(simulation.leader()), "expected a new leader");
             jobs.subList(0, 3).forEach(simulation.users::cancel);
         });
         simulation.at(70_000, () -> {
-            setLinksToControllers(simulation, old, LinkState.CONNECTED);
-            simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.CONNECTED);
+            setLinksToControllers(simulation, isolatedLeader, LinkState.CONNECTED);
+            simulation.network.setLink(isolatedLeader, Network.KEY_VALUE_STORE, LinkState.CONNECTED);
             simulation.invariants.faultsEnded();
         });
         simulation.run(330);
@@ -133,7 +133,7 @@
             submitLongJob(simulation, "blue", 8, 2);
             submitLongJob(simulation, "red", 6, 2);
             simulation.at(14_000, () -> {
-                String first = leader(simulation);
+                String leader = leader(simulation);
                 List<FakeWorker> workers = liveWorkers(simulation);
                 for (int i = 0; i < workers.size(); i++) {
                     String worker = workers.get(i).name;
@@ -147,7 +147,7 @@
                                 () -> NODES.forEach(n -> simulation.network.setOneWay(n, worker, LinkState.CONNECTED)));
                     }
                 }
-                simulation.controllers.crashFor(first, 6);
+                simulation.controllers.crashFor(leader, 6);
                 simulation.at(4_000, () -> cancelEveryNth(simulation, 3));
             });
         });
@@ -198,7 +198,7 @@
     /** Commits of elections, submissions, cancellations, cycles and completions are applied late, after newer ones. */
     @Test
     void commitsAreAppliedAfterNewerOnes() {
-        int[] late = new int[2];
+        int[] delayedAndApplied = new int[2];
         for (int seed : Seeds.each()) {
             runScenario(seed, 460, simulation -> {
                 simulation.store.delayCommits(0.25, 80);
@@ -210,14 +210,15 @@
                 simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
                 simulation.at(45_000, () -> simulation.controllers.crashFor(leader(simulation), 6));
                 simulation.at(120_000, () -> {
-                    late[0] += simulation.store.delayedCommits();
-                    late[1] += simulation.store.delayedCommitsApplied();
+                    delayedAndApplied[0] += simulation.store.delayedCommits();
+                    delayedAndApplied[1] += simulation.store.delayedCommitsApplied();
                 });
             });
         }
         assertTrue(
-                late[0] > 20 && late[1] > 0,
-                "expected delayed commits and applied ones: delayed " + late[0] + ", applied " + late[1]);
+                delayedAndApplied[0] > 20 && delayedAndApplied[1] > 0,
+                "expected delayed commits and applied ones: delayed " + delayedAndApplied[0] + ", applied "
+                        + delayedAndApplied[1]);
     }
 
     @ParameterizedTest
@@ -228,8 +229,8 @@
             submitLongJob(simulation, "red", 4, 2);
             for (int i = 0; i < 4; i++) {
                 simulation.at(i * 9_000L, () -> {
-                    String first = leader(simulation);
-                    simulation.controllers.stall(first, 7);
+                    String leader = leader(simulation);
+                    simulation.controllers.stall(leader, 7);
                     simulation.at(6_000, () -> cancelEveryNth(simulation, 6));
                 });
             }
--- a/src/test/java/org/spoolline/simulation/ConcurrentWorkerFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentWorkerFailuresTest.java
@@ -40,11 +40,11 @@
         simulation.users.submit(simulation.users.job("blue", "batch", 6, 4, 30).with("yard", "b"));
         simulation.users.submit(simulation.users.job("blue", "group", 5, 2, 40).with("scatter", true));
         simulation.run(45);
-        int[] lost = new int[1];
+        int[] lostMachines = new int[1];
         for (int i = 0; i < 4; i++) {
             simulation.at(i * 11_000L, () -> {
                 FakeWorker worker = busyWorker(simulation);
-                lost[0] += worker.isDown() ? 0 : 1;
+                lostMachines[0] += worker.isDown() ? 0 : 1;
                 if (simulation.random.nextBoolean()) {
                     worker.losePower();
                 } else {
@@ -55,7 +55,7 @@
         }
         simulation.at(12_000, () -> simulation.controllers.crashFor(leader(simulation), 5));
         simulation.run(80);
-        assertTrue(lost[0] > 0, "expected a machine to be lost");
+        assertTrue(lostMachines[0] > 0, "expected a machine to be lost");
         simulation.invariants.faultsEnded();
         simulation.run(300);
         assertEveryJobDone(simulation, seed);
@@ -103,27 +103,29 @@
     }
 
     /** Workers in the partitioned zone stay with its controller for as long as that may answer them. */
-    private static void partitionZoneWithController(int seed, Function<Simulation, String> controllerInZone) {
+    private static void partitionZoneWithController(int seed, Function<Simulation, String> chooseController) {
         runScenario(seed, 480, simulation -> {
             submitLongJob(simulation, "blue", 8, 2);
             submitLongJob(simulation, "red", 4, 2);
             simulation.at(14_000, () -> {
-                String inside = controllerInZone.apply(simulation);
-                List<FakeWorker> zone = liveWorkers(simulation).stream()
+                String zoneController = chooseController.apply(simulation);
+                List<FakeWorker> zoneWorkers = liveWorkers(simulation).stream()
                         .filter(w -> w.zone.equals("a"))
                         .toList();
-                setLinksToControllers(simulation, inside, LinkState.DELAYED);
+                setLinksToControllers(simulation, zoneController, LinkState.DELAYED);
                 for (String other : List.of(Network.KEY_VALUE_STORE, Network.CLOUD, Network.USERS)) {
-                    simulation.network.setLink(inside, other, LinkState.DELAYED);
+                    simulation.network.setLink(zoneController, other, LinkState.DELAYED);
                 }
-                zone.forEach(w -> setLinksToControllersExcept(simulation, w.name, inside, LinkState.DELAYED));
+                zoneWorkers.forEach(
+                        w -> setLinksToControllersExcept(simulation, w.name, zoneController, LinkState.DELAYED));
                 simulation.at(6_000, () -> cancelEveryNth(simulation, 3));
                 simulation.at(40_000, () -> {
-                    setLinksToControllers(simulation, inside, LinkState.CONNECTED);
+                    setLinksToControllers(simulation, zoneController, LinkState.CONNECTED);
                     for (String other : List.of(Network.KEY_VALUE_STORE, Network.CLOUD, Network.USERS)) {
-                        simulation.network.setLink(inside, other, LinkState.CONNECTED);
+                        simulation.network.setLink(zoneController, other, LinkState.CONNECTED);
                     }
-                    zone.forEach(w -> setLinksToControllersExcept(simulation, w.name, inside, LinkState.CONNECTED));
+                    zoneWorkers.forEach(
+                            w -> setLinksToControllersExcept(simulation, w.name, zoneController, LinkState.CONNECTED));
                 });
             });
         });
@@ -144,13 +146,13 @@
     /** Without an uplink a worker renews nothing: its tasks end with its lease and must not start elsewhere before. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void workersWithoutUplinkStillTakeCommands(int seed) {
+    void workersWithoutUplinkStillReceiveCommands(int seed) {
         runScenario(seed, 420, simulation -> {
             submitLongJob(simulation, "blue", 8, 2);
             simulation.at(14_000, () -> {
-                List<FakeWorker> some = liveWorkers(simulation)
+                List<FakeWorker> blockedWorkers = liveWorkers(simulation)
                         .subList(0, Math.max(1, liveWorkers(simulation).size() / 2));
-                some.forEach(w -> simulation.network.blockOutbound(w.name, 30));
+                blockedWorkers.forEach(w -> simulation.network.blockOutbound(w.name, 30));
                 simulation.at(1_000, () -> cancelEveryNth(simulation, 2));
                 simulation.at(9_000, () -> simulation.controllers.crashFor(leader(simulation), 5));
             });
@@ -164,15 +166,15 @@
             submitLongJob(simulation, "blue", 8, 2);
             submitLongJob(simulation, "red", 4, 2);
             simulation.at(14_000, () -> {
-                String next = firstFollower(simulation);
+                String nextLeader = firstFollower(simulation);
                 // Heartbeats sent there now arrive once it leads, along with duplicates of later ones.
-                simulation.network.setOneWay(Network.WORKERS, next, LinkState.DELAYED);
+                simulation.network.setOneWay(Network.WORKERS, nextLeader, LinkState.DELAYED);
                 simulation.network.duplicateHeartbeats(40_000);
                 simulation.controllers.crashFor(leader(simulation), 9);
                 simulation.at(3_000, () -> busyWorker(simulation).hang(20));
                 simulation.at(
                         12_000 + simulation.random.nextInt(12_000),
-                        () -> simulation.network.setOneWay(Network.WORKERS, next, LinkState.CONNECTED));
+                        () -> simulation.network.setOneWay(Network.WORKERS, nextLeader, LinkState.CONNECTED));
                 simulation.at(7_000, () -> cancelEveryNth(simulation, 3));
                 simulation.at(45_000, () -> simulation.network.duplicateHeartbeats(0));
             });
@@ -200,8 +202,8 @@
     }
 
     @Test
-    void cancellationPollAndResubmissionMeetCompletion() {
-        int[] met = new int[1];
+    void cancellationPollAndResubmissionCoincideWithCompletion() {
+        int[] cancelledAtCompletion = new int[1];
         for (int seed : Seeds.each()) {
             runScenario(seed, 260, simulation -> {
                 simulation.users.cancelAtCompletion(0.8, 100);
@@ -209,10 +211,12 @@
                     int n = i;
                     simulation.at(i * 3_000L, () -> simulation.users.submit(mixedJob(simulation, n)));
                 }
-                simulation.at(100_000, () -> met[0] += simulation.users.cancelledAtCompletion());
+                simulation.at(100_000, () -> cancelledAtCompletion[0] += simulation.users.cancelledAtCompletion());
             });
         }
-        assertTrue(met[0] > 10, "expected more than 10 cancellations at completion, got " + met[0]);
+        assertTrue(
+                cancelledAtCompletion[0] > 10,
+                "expected more than 10 cancellations at completion, got " + cancelledAtCompletion[0]);
     }
 
     /** All cancellations arrive within 200 ms, and the workers hang right after them. */
@@ -227,13 +231,13 @@
         }
         simulation.run(40);
         jobs.forEach(j -> simulation.at(simulation.random.nextInt(200), () -> simulation.users.cancel(j)));
-        List<FakeWorker> hung = liveWorkers(simulation).stream()
+        List<FakeWorker> hangingWorkers = liveWorkers(simulation).stream()
                 .filter(w -> !w.tasks().isEmpty())
                 .limit(8)
                 .toList();
-        assertFalse(hung.isEmpty());
+        assertFalse(hangingWorkers.isEmpty());
         int hangS = 4 + simulation.random.nextInt(30);
-        simulation.at(simulation.random.nextInt(400), () -> hung.forEach(w -> w.hang(hangS)));
+        simulation.at(simulation.random.nextInt(400), () -> hangingWorkers.forEach(w -> w.hang(hangS)));
         simulation.at(1_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
         simulation.run(120);
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
--- a/src/test/java/org/spoolline/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/ControllerFaultsTest.java
@@ -48,16 +48,16 @@
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void controllersRestartWithinAFractionOfASecondDuringElection(int seed) {
+    void controllersRestartRepeatedlyDuringElection(int seed) {
         runScenario(seed, 300, simulation -> {
-            String first = leader(simulation);
-            simulation.controllers.crash(first);
+            String leader = leader(simulation);
+            simulation.controllers.crash(leader);
             for (int i = 0; i < 12; i++) {
                 // Around lease expiry, when the others campaign.
                 String node = "node-" + i % 3;
                 simulation.at(4_000 + i * 170L, () -> simulation.controllers.crashFor(node, 0.1));
             }
-            simulation.at(9_000, () -> simulation.controllers.start(first));
+            simulation.at(9_000, () -> simulation.controllers.start(leader));
         });
     }
 
@@ -66,8 +66,8 @@
     @MethodSource(Seeds.EACH)
     void leaderStallsForLongerThanItsLease(int seed) {
         runScenario(seed, 400, simulation -> {
-            String first = leader(simulation);
-            simulation.controllers.stall(first, 24);
+            String leader = leader(simulation);
+            simulation.controllers.stall(leader, 24);
             simulation.at(60_000, () -> simulation.controllers.stall(leader(simulation), 3));
             simulation.at(80_000, () -> {
                 simulation.controllers.stall(leader(simulation), 26);
@@ -97,13 +97,13 @@
         simulation.run(3);
         simulation.users.submit(simulation.users.job("blue", "batch", 4, 8, 5));
         simulation.run(49);
-        long up =
+        long liveBefore =
                 simulation.workers().values().stream().filter(w -> !w.isDown()).count();
-        assertTrue(up > 0);
+        assertTrue(liveBefore > 0);
         simulation.controllers.crashFor(leader(simulation), 5);
         simulation.run(8);
         assertEquals(
-                up,
+                liveBefore,
                 simulation.workers().values().stream().filter(w -> !w.isDown()).count());
     }
 }
--- a/src/test/java/org/spoolline/simulation/DependencyChain.java
+++ b/src/test/java/org/spoolline/simulation/DependencyChain.java
@@ -10,31 +10,31 @@
 /** Four stages of dependent jobs, the second of two jobs: each job is submitted once its dependencies are accepted. */
 final class DependencyChain {
     final Simulation simulation;
-    final SimulatedJob check;
-    final List<SimulatedJob> resize = new ArrayList<>();
-    final SimulatedJob merge;
-    final SimulatedJob deliver;
+    final SimulatedJob firstStage;
+    final List<SimulatedJob> secondStage = new ArrayList<>();
+    final SimulatedJob thirdStage;
+    final SimulatedJob lastStage;
     final List<SimulatedJob> jobs = new ArrayList<>();
 
     DependencyChain(Simulation simulation) {
         this.simulation = simulation;
-        check = simulation.users.job("blue", "batch", 3, 1, 8);
-        resize.add(simulation.users.job("blue", "batch", 6, 2, 10).dependingOn(check));
-        resize.add(simulation.users.job("red", "batch", 2, 2, 12).dependingOn(check));
-        merge = simulation
+        firstStage = simulation.users.job("blue", "batch", 3, 1, 8);
+        secondStage.add(simulation.users.job("blue", "batch", 6, 2, 10).dependingOn(firstStage));
+        secondStage.add(simulation.users.job("red", "batch", 2, 2, 12).dependingOn(firstStage));
+        thirdStage = simulation
                 .users
                 .job("blue", "group", 2, 2, 8)
                 .with("samePlace", true)
-                .dependingOn(resize.get(0), resize.get(1));
-        deliver = simulation
+                .dependingOn(secondStage.get(0), secondStage.get(1));
+        lastStage = simulation
                 .users
                 .job("blue", "batch", 2, 1, 4)
                 .with("urgency", "urgent")
-                .dependingOn(merge);
-        jobs.add(check);
-        jobs.addAll(resize);
-        jobs.add(merge);
-        jobs.add(deliver);
+                .dependingOn(thirdStage);
+        jobs.add(firstStage);
+        jobs.addAll(secondStage);
+        jobs.add(thirdStage);
+        jobs.add(lastStage);
     }
 
     /** Submits all jobs in order, each as soon as the one before it is accepted. */
@@ -51,11 +51,11 @@
         whenAccepted(jobs.get(index), () -> submitFrom(index + 1));
     }
 
-    private void whenAccepted(SimulatedJob job, Runnable then) {
+    private void whenAccepted(SimulatedJob job, Runnable action) {
         if (job.accepted()) {
-            then.run();
+            action.run();
         } else {
-            simulation.at(50, () -> whenAccepted(job, then));
+            simulation.at(50, () -> whenAccepted(job, action));
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** A minute from now every accepted job of the chain is done or cancelled. */
-    static void expectAllCancelled(DependencyChain chain) {
+    static void expectAllCancelledOrDone(DependencyChain chain) {
         for (SimulatedJob job : chain.jobs) {
             chain.simulation.at(60_000, () -> {
                 if (job.accepted() && !job.status().equals("done")) {
--- a/src/test/java/org/spoolline/simulation/DependentJobFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/DependentJobFailuresTest.java
@@ -1,7 +1,7 @@
 package org.spoolline.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.spoolline.simulation.DependencyChain.expectAllCancelled;
+import static org.spoolline.simulation.DependencyChain.expectAllCancelledOrDone;
 import static org.spoolline.simulation.DependencyChain.runThreeChains;
 import static org.spoolline.simulation.Workloads.NODES;
 import static org.spoolline.simulation.Workloads.leader;
@@ -16,8 +16,8 @@
     @MethodSource(Seeds.EACH)
     void cancelledRootCancelsAllDependents(int seed) {
         runThreeChains(seed, 320, chains -> {
-            chains.get(1).simulation.users.cancel(chains.get(1).check);
-            expectAllCancelled(chains.get(1));
+            chains.get(1).simulation.users.cancel(chains.get(1).firstStage);
+            expectAllCancelledOrDone(chains.get(1));
         });
     }
 
@@ -25,8 +25,8 @@
     @MethodSource(Seeds.EACH)
     void cancelledMiddleStageCancelsLaterStages(int seed) {
         runThreeChains(seed, 320, chains -> {
-            chains.get(2).simulation.users.cancel(chains.get(2).resize.get(1));
-            expectAllCancelled(chains.get(2));
+            chains.get(2).simulation.users.cancel(chains.get(2).secondStage.get(1));
+            expectAllCancelledOrDone(chains.get(2));
         });
     }
 
@@ -35,17 +35,17 @@
     void cancelledDependentLeavesDependenciesRunning(int seed) {
         runThreeChains(seed, 320, chains -> {
             DependencyChain chain = chains.get(2);
-            chain.simulation.users.cancel(chain.merge);
+            chain.simulation.users.cancel(chain.thirdStage);
             chain.simulation.at(150_000, () -> {
-                assertEquals("done", chain.check.status());
-                assertEquals("aborted", chain.deliver.status());
+                assertEquals("done", chain.firstStage.status());
+                assertEquals("aborted", chain.lastStage.status());
             });
         });
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void cancellationsMeetCompletionOfDependencies(int seed) {
+    void cancellationsCoincideWithCompletionOfDependencies(int seed) {
         runThreeChains(seed, 320, chains -> chains.get(0).simulation.users.cancelAtCompletion(0.5, 60));
     }
 
@@ -66,10 +66,11 @@
         runThreeChains(seed, 420, chains -> {
             Simulation simulation = chains.get(0).simulation;
             simulation.controllers.crashFor(leader(simulation), 8);
-            simulation.at(300, () -> simulation.users.cancel(chains.get(1).check));
+            simulation.at(300, () -> simulation.users.cancel(chains.get(1).firstStage));
             simulation.at(
-                    2_000, () -> simulation.users.cancel(chains.get(2).resize.get(0)));
-            expectAllCancelled(chains.get(2));
+                    2_000,
+                    () -> simulation.users.cancel(chains.get(2).secondStage.get(0)));
+            expectAllCancelledOrDone(chains.get(2));
         });
     }
 
@@ -79,8 +80,8 @@
     void rootIsCancelledBeforeOutageBeyondCancelBound(int seed) {
         runThreeChains(seed, 500, chains -> {
             Simulation simulation = chains.get(0).simulation;
-            simulation.users.cancel(chains.get(1).check);
-            simulation.users.cancel(chains.get(2).resize.get(0));
+            simulation.users.cancel(chains.get(1).firstStage);
+            simulation.users.cancel(chains.get(2).secondStage.get(0));
             simulation.at(60, () -> simulation.store.outage(80));
         });
     }
@@ -91,8 +92,8 @@
         runThreeChains(seed, 500, chains -> {
             Simulation simulation = chains.get(0).simulation;
             simulation.store.rejectHost(leader(simulation), 14);
-            simulation.at(300, () -> simulation.users.cancel(chains.get(1).check));
-            simulation.at(500, () -> simulation.users.cancel(chains.get(2).merge));
+            simulation.at(300, () -> simulation.users.cancel(chains.get(1).firstStage));
+            simulation.at(500, () -> simulation.users.cancel(chains.get(2).thirdStage));
             simulation.at(2_000, () -> simulation.store.outage(70));
         });
     }
@@ -105,7 +106,8 @@
             String leader = leader(simulation);
             simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.DELAYED);
             simulation.at(
-                    1_000, () -> simulation.users.cancel(chains.get(2).resize.get(0)));
+                    1_000,
+                    () -> simulation.users.cancel(chains.get(2).secondStage.get(0)));
             simulation.at(
                     30_000, () -> simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.CONNECTED));
         });
@@ -118,7 +120,7 @@
             Simulation simulation = chains.get(0).simulation;
             simulation.store.delayCommits(0.25, 60);
             simulation.at(10_000, () -> simulation.store.commitResponsesToLose = 5);
-            simulation.at(5_000, () -> simulation.users.cancel(chains.get(1).merge));
+            simulation.at(5_000, () -> simulation.users.cancel(chains.get(1).thirdStage));
             simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 3));
         });
     }
@@ -134,10 +136,11 @@
             Simulation simulation = chains.get(0).simulation;
             simulation.store.dropListings(90);
             NODES.forEach(node -> simulation.controllers.crashFor(node, 0.3));
-            simulation.at(8_000, () -> simulation.users.cancel(chains.get(1).check));
+            simulation.at(8_000, () -> simulation.users.cancel(chains.get(1).firstStage));
             simulation.at(
-                    8_500, () -> simulation.users.cancel(chains.get(2).resize.get(0)));
-            for (SimulatedJob job : List.of(chains.get(2).merge, chains.get(2).deliver)) {
+                    8_500,
+                    () -> simulation.users.cancel(chains.get(2).secondStage.get(0)));
+            for (SimulatedJob job : List.of(chains.get(2).thirdStage, chains.get(2).lastStage)) {
                 simulation.at(70_000, () -> assertEquals("aborted", job.status(), job.jobId()));
             }
         });
--- a/src/test/java/org/spoolline/simulation/DependentJobsTest.java
+++ b/src/test/java/org/spoolline/simulation/DependentJobsTest.java
@@ -21,7 +21,7 @@
         simulation.run(5);
         DependencyChain chain = new DependencyChain(simulation).submit();
         simulation.run(20);
-        assertEquals("pending", chain.deliver.status());
+        assertEquals("pending", chain.lastStage.status());
         simulation.run(200);
         Workloads.assertEveryJobDone(simulation, seed);
     }
@@ -32,16 +32,18 @@
         simulation.run(3);
         SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 200));
         simulation.run(2);
-        List<SimulatedJob> fan = new ArrayList<>();
+        List<SimulatedJob> dependents = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
-            fan.add(simulation.users.submit(
-                    simulation.users.job("blue", "batch", 1, 1, 5).dependingOn(i % 3 == 2 ? fan.get(i - 1) : root)));
+            dependents.add(simulation.users.submit(simulation
+                    .users
+                    .job("blue", "batch", 1, 1, 5)
+                    .dependingOn(i % 3 == 2 ? dependents.get(i - 1) : root)));
             simulation.run(0.2);
         }
         simulation.run(20);
         simulation.users.cancel(root);
         simulation.run(46);
-        for (SimulatedJob job : fan) {
+        for (SimulatedJob job : dependents) {
             assertTrue(job.accepted(), job.jobId());
             assertEquals("aborted", job.status(), job.jobId());
         }
@@ -56,15 +58,15 @@
         simulation.run(3);
         simulation.users.cancel(root);
         simulation.run(60);
-        SimulatedJob late = simulation.users.submit(
+        SimulatedJob dependent = simulation.users.submit(
                 simulation.users.job("red", "batch", 1, 1, 5).dependingOn(root));
         simulation.run(10);
-        assertTrue(late.accepted());
-        assertEquals("aborted", late.status());
-        SimulatedJob later = simulation.users.submit(
-                simulation.users.job("red", "batch", 1, 1, 5).dependingOn(late));
+        assertTrue(dependent.accepted());
+        assertEquals("aborted", dependent.status());
+        SimulatedJob secondDependent = simulation.users.submit(
+                simulation.users.job("red", "batch", 1, 1, 5).dependingOn(dependent));
         simulation.run(10);
-        assertEquals("aborted", later.status());
+        assertEquals("aborted", secondDependent.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
 
@@ -75,42 +77,43 @@
         SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 5));
         simulation.run(40);
         assertEquals("done", root.status());
-        SimulatedJob late = simulation.users.submit(
+        SimulatedJob dependent = simulation.users.submit(
                 simulation.users.job("red", "batch", 1, 1, 5).dependingOn(root, root));
         simulation.run(30);
-        assertEquals("done", late.status());
+        assertEquals("done", dependent.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
 
     @Test
-    void unknownDependenciesAreRejected() {
+    void invalidDependenciesAreRejected() {
         Simulation simulation = new Simulation(3);
         simulation.run(3);
-        SimulatedJob never = simulation.users.job("blue", "batch", 1, 1, 5);
-        SimulatedJob stranger = simulation.users.submit(simulation
+        SimulatedJob neverSubmitted = simulation.users.job("blue", "batch", 1, 1, 5);
+        SimulatedJob dependsOnUnknown = simulation.users.submit(simulation
                 .users
                 .job("blue", "batch", 1, 1, 5)
-                .dependingOn(never)
+                .dependingOn(neverSubmitted)
                 .markInvalid());
-        SimulatedJob itself = simulation.users.job("blue", "batch", 1, 1, 5).markInvalid();
-        simulation.users.submit(itself.dependingOn(itself));
-        SimulatedJob noList = simulation.users.submit(simulation
+        SimulatedJob dependsOnItself =
+                simulation.users.job("blue", "batch", 1, 1, 5).markInvalid();
+        simulation.users.submit(dependsOnItself.dependingOn(dependsOnItself));
+        SimulatedJob dependenciesNotAList = simulation.users.submit(simulation
                 .users
                 .job("blue", "batch", 1, 1, 5)
                 .with("waitsOn", "run-1")
                 .markInvalid());
-        SimulatedJob noId = simulation.users.submit(simulation
+        SimulatedJob malformedJobId = simulation.users.submit(simulation
                 .users
                 .job("blue", "batch", 1, 1, 5)
                 .with("waitsOn", List.of("job-1"))
                 .markInvalid());
-        SimulatedJob nothing = simulation.users.submit(
+        SimulatedJob emptyDependencies = simulation.users.submit(
                 simulation.users.job("blue", "batch", 1, 1, 5).with("waitsOn", List.of()));
         simulation.run(5);
-        for (SimulatedJob job : List.of(stranger, itself, noList, noId)) {
+        for (SimulatedJob job : List.of(dependsOnUnknown, dependsOnItself, dependenciesNotAList, malformedJobId)) {
             assertTrue(job.rejected(), job.jobId());
         }
-        assertTrue(nothing.accepted());
+        assertTrue(emptyDependencies.accepted());
         assertEquals(List.of(), simulation.invariants.violations());
     }
 
@@ -123,8 +126,8 @@
         SimulatedJob job = simulation.users.submit(
                 simulation.users.job("red", "batch", 1, 1, 20).dependingOn(root));
         simulation.run(3);
-        SimulatedJob never = simulation.users.job("blue", "batch", 1, 1, 5);
-        simulation.users.submit(job.dependingOn(never));
+        SimulatedJob neverSubmitted = simulation.users.job("blue", "batch", 1, 1, 5);
+        simulation.users.submit(job.dependingOn(neverSubmitted));
         simulation.run(3);
         assertFalse(job.rejected());
         assertEquals(List.of(), simulation.invariants.violations());
@@ -141,30 +144,30 @@
             roots.add(simulation.users.submit(simulation.users.job("blue", "batch", 1, 0.1, 5)));
             simulation.run(0.2);
         }
-        SimulatedJob fits = simulation.users.submit(
+        SimulatedJob jobWithinBound = simulation.users.submit(
                 simulation.users.job("red", "batch", 1, 1, 5).dependingOn(roots.toArray(SimulatedJob[]::new)));
-        List<String> many = new ArrayList<>();
+        List<String> tooManyJobIds = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            many.add(roots.get(i % 60).jobId() + i);
+            tooManyJobIds.add(roots.get(i % 60).jobId() + i);
         }
-        List<String> answers = new ArrayList<>();
+        List<String> responses = new ArrayList<>();
         byte[] body = Json.bytes(simulation
                 .users
                 .job("red", "batch", 1, 1, 5)
-                .with("waitsOn", many)
+                .with("waitsOn", tooManyJobIds)
                 .body());
         simulation.network.call(
                 "users",
                 "node-0:1",
                 new Http.Request("POST", "/submissions", "", body),
                 2_000,
-                reply -> answers.add(
+                reply -> responses.add(
                         reply.status() + " " + new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8)));
         simulation.run(1);
-        assertEquals(1, answers.size());
-        assertTrue(answers.get(0).startsWith("400") && answers.get(0).contains("1740 bytes"), answers.get(0));
+        assertEquals(1, responses.size());
+        assertTrue(responses.get(0).startsWith("400") && responses.get(0).contains("1740 bytes"), responses.get(0));
         simulation.run(120);
-        assertEquals("done", fits.status());
+        assertEquals("done", jobWithinBound.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
 }
--- a/src/test/java/org/spoolline/simulation/FleetTest.java
+++ b/src/test/java/org/spoolline/simulation/FleetTest.java
@@ -66,7 +66,7 @@
         assertEveryJobDone(simulation, 1);
     }
 
-    private static List<FakeWorker> firstMachines(Simulation simulation, int count) {
+    private static List<FakeWorker> firstLiveWorkers(Simulation simulation, int count) {
         return simulation.workers().values().stream()
                 .filter(w -> !w.isDown())
                 .limit(count)
@@ -77,8 +77,8 @@
     void fleetSurvivesRestartsOfAllControllersDuringElection() {
         runFleet(1, simulation -> {
             assertTrue(
-                    firstMachines(simulation, 2_000).size() > 1_000,
-                    "machines: " + firstMachines(simulation, 2_000).size());
+                    firstLiveWorkers(simulation, 2_000).size() > 1_000,
+                    "machines: " + firstLiveWorkers(simulation, 2_000).size());
             for (int i = 0; i < 3; i++) {
                 String node = "node-" + i;
                 simulation.controllers.crashFor(node, 0.3);
@@ -102,14 +102,14 @@
         SimulatedJob job = simulation.users.submit(simulation.users.job("blue", "batch", 250, 8, 300));
         simulation.run(50);
         simulation.workers().values().forEach(w -> w.hang(9));
-        int before = simulation.network.peakRequestsToWorkers();
+        int peakBeforeCancellation = simulation.network.peakRequestsToWorkers();
         simulation.users.cancel(job);
         simulation.run(60);
-        int most = simulation.settings("node-0").maxEarlyHeartbeatRequests();
+        int maxRequests = simulation.settings("node-0").maxEarlyHeartbeatRequests();
         assertEquals(
-                most,
+                maxRequests,
                 simulation.network.peakRequestsToWorkers(),
-                "peak of early-heartbeat requests, before the cancellation: " + before);
+                "peak of early-heartbeat requests, before the cancellation: " + peakBeforeCancellation);
         assertEquals("aborted", job.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
@@ -117,7 +117,7 @@
     @Test
     void fleetSurvivesPartitionLeaderCrashAndStall() {
         runFleet(2, simulation -> {
-            for (FakeWorker worker : firstMachines(simulation, 200)) {
+            for (FakeWorker worker : firstLiveWorkers(simulation, 200)) {
                 for (int i = 0; i < 3; i++) {
                     String node = "node-" + i;
                     simulation.network.setLink(worker.name, node, LinkState.DELAYED);
@@ -127,7 +127,7 @@
             simulation.at(4_000, () -> simulation.controllers.crashFor(leader(simulation), 6));
             simulation.at(
                     20_000,
-                    () -> firstMachines(simulation, 400).subList(300, 400).forEach(FakeWorker::losePower));
+                    () -> firstLiveWorkers(simulation, 400).subList(300, 400).forEach(FakeWorker::losePower));
             simulation.at(70_000, () -> simulation.controllers.stall(leader(simulation), 26));
         });
     }
--- a/src/test/java/org/spoolline/simulation/GuestTeamTest.java
+++ b/src/test/java/org/spoolline/simulation/GuestTeamTest.java
@@ -13,11 +13,11 @@
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void guestFillsIdleCapacityAndLeavesForATeamWithinItsGuarantee(int seed) {
+    void guestTeamUsesIdleCapacityAndIsPreemptedForGuarantee(int seed) {
         Simulation simulation = new Simulation(seed);
         simulation.cloud.capacity = 1;
         simulation.run(3);
-        SimulatedJob wide = simulation.users.submit(simulation
+        SimulatedJob guestJob = simulation.users.submit(simulation
                 .users
                 .job(GUEST, "batch", 150, 2, 25)
                 .with("urgency", "best_effort")
@@ -25,17 +25,17 @@
                 .with("stashS", 1.0));
         simulation.run(40);
         assertTrue(simulation.invariants.starts() > 20, "expected the guest to fill the machines");
-        SimulatedJob owner = simulation.users.submit(simulation.users.job("blue", "batch", 8, 4, 15));
+        SimulatedJob guaranteedJob = simulation.users.submit(simulation.users.job("blue", "batch", 8, 4, 15));
         simulation.run(60);
-        assertEquals("done", owner.status(), "seed " + seed);
+        assertEquals("done", guaranteedJob.status(), "seed " + seed);
         simulation.run(300);
-        assertEquals("done", wide.status(), "seed " + seed);
+        assertEquals("done", guestJob.status(), "seed " + seed);
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
 
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void swarmOfTinyGuestJobsIsAcceptedAndDone(int seed) {
+    void manySmallGuestJobsComplete(int seed) {
         Simulation simulation = new Simulation(seed);
         simulation.run(3);
         for (int i = 0; i < 120; i++) {
--- a/src/test/java/org/spoolline/simulation/MalformedInputTest.java
+++ b/src/test/java/org/spoolline/simulation/MalformedInputTest.java
@@ -24,12 +24,12 @@
             List.of("null", "true", "-1", "1e300", "\"odd\"", "[]", "[null]", "{}", "{\"odd\":[1,{}]}");
 
     /** A valid job starts and completes in time in a simulation with malformed input. */
-    private static void assertOtherJobCompletes(Simulation simulation, String what) {
+    private static void assertOtherJobCompletes(Simulation simulation, String input) {
         simulation.run(3);
         SimulatedJob job = simulation.users.submit(Workloads.mixedJob(simulation, 0));
         simulation.run(110);
-        assertEquals("done", job.status(), what);
-        assertEquals(List.of(), simulation.invariants.violations(), what);
+        assertEquals("done", job.status(), input);
+        assertEquals(List.of(), simulation.invariants.violations(), input);
     }
 
     /** Each field of a stored job in turn is missing or malformed; a leader reads all of these values at once. */
@@ -82,7 +82,7 @@
     @Test
     void malformedMachineTypesDoNotBlockOthers() {
         Simulation simulation = new Simulation(7);
-        ObjectNode proper = Json.object()
+        ObjectNode valid = Json.object()
                 .put("name", "odd")
                 .put("cores", 8)
                 .put("accelerators", 0)
@@ -92,8 +92,8 @@
                 .put("rate", 1.0)
                 .put("spotPrice", 0.5)
                 .put("startupS", 10);
-        proper.putArray("yards").add("a");
-        List<JsonNode> malformed = new ArrayList<>(malformedCopies(proper));
+        valid.putArray("yards").add("a");
+        List<JsonNode> malformed = new ArrayList<>(malformedCopies(valid));
         MALFORMED_VALUES.forEach(value -> malformed.add(read(value)));
         simulation.cloud.malformedTypes = malformed;
         assertOtherJobCompletes(simulation, "machine types");
@@ -107,18 +107,19 @@
         String heartbeat = "{\"spooler\":\"m-000999\",\"addr\":\"m-000999:1\",\"build\":\"small\",\"yard\":\"a\","
                 + "\"standby\":true,\"shift\":1,\"tick\":1,\"baton\":0,\"recallS\":null,\"slips\":[]}";
         for (JsonNode malformed : malformedCopies(Json.read(heartbeat.getBytes(StandardCharsets.UTF_8)))) {
-            simulation.at(100, () -> toAll(simulation, "/checkin", Json.bytes(malformed)));
+            simulation.at(100, () -> sendToAllControllers(simulation, "/checkin", Json.bytes(malformed)));
         }
         for (String value : MALFORMED_VALUES) {
-            simulation.at(200, () -> toAll(simulation, "/status", cbor(value)));
-            simulation.at(300, () -> toAll(simulation, "/status", value.getBytes(StandardCharsets.UTF_8)));
-            simulation.at(400, () -> toAll(simulation, "/forward", cbor(value)));
-            simulation.at(500, () -> toAll(simulation, "/cancelled", cbor(value)));
+            simulation.at(200, () -> sendToAllControllers(simulation, "/status", cbor(value)));
+            simulation.at(
+                    300, () -> sendToAllControllers(simulation, "/status", value.getBytes(StandardCharsets.UTF_8)));
+            simulation.at(400, () -> sendToAllControllers(simulation, "/forward", cbor(value)));
+            simulation.at(500, () -> sendToAllControllers(simulation, "/cancelled", cbor(value)));
         }
         assertOtherJobCompletes(simulation, "heartbeats and peers");
     }
 
-    private static void toAll(Simulation simulation, String path, byte[] body) {
+    private static void sendToAllControllers(Simulation simulation, String path, byte[] body) {
         Http.Request request = new Http.Request("POST", path, "", body);
         for (ControllerProcess node : simulation.controllers.processes()) {
             Runnable serve = path.equals("/checkin")
@@ -135,34 +136,34 @@
     /**
      * Copies of the tree with each of its fields, at any depth, left out or replaced by each malformed value in turn.
      */
-    private static List<JsonNode> malformedCopies(JsonNode proper) {
+    private static List<JsonNode> malformedCopies(JsonNode valid) {
         List<JsonNode> copies = new ArrayList<>();
-        collect(proper, proper, List.of(), copies);
+        addMalformedCopies(valid, valid, List.of(), copies);
         return copies;
     }
 
-    private static void collect(JsonNode root, JsonNode at, List<String> path, List<JsonNode> copies) {
-        for (Map.Entry<String, JsonNode> field : at.properties()) {
-            JsonNode without = root.deepCopy();
-            ((ObjectNode) follow(without, path)).remove(field.getKey());
-            copies.add(without);
+    private static void addMalformedCopies(JsonNode root, JsonNode node, List<String> path, List<JsonNode> copies) {
+        for (Map.Entry<String, JsonNode> field : node.properties()) {
+            JsonNode withoutField = root.deepCopy();
+            ((ObjectNode) nodeAt(withoutField, path)).remove(field.getKey());
+            copies.add(withoutField);
             for (String malformed : MALFORMED_VALUES) {
-                JsonNode with = root.deepCopy();
-                ((ObjectNode) follow(with, path)).set(field.getKey(), read(malformed));
-                copies.add(with);
+                JsonNode withMalformedField = root.deepCopy();
+                ((ObjectNode) nodeAt(withMalformedField, path)).set(field.getKey(), read(malformed));
+                copies.add(withMalformedField);
             }
-            List<String> inner = new ArrayList<>(path);
-            inner.add(field.getKey());
-            collect(root, field.getValue(), inner, copies);
+            List<String> innerPath = new ArrayList<>(path);
+            innerPath.add(field.getKey());
+            addMalformedCopies(root, field.getValue(), innerPath, copies);
         }
     }
 
-    private static JsonNode follow(JsonNode root, List<String> path) {
-        JsonNode at = root;
+    private static JsonNode nodeAt(JsonNode root, List<String> path) {
+        JsonNode node = root;
         for (String name : path) {
-            at = at.path(name);
+            node = node.path(name);
         }
-        return at;
+        return node;
     }
 
     private static byte[] cbor(String json) {
--- a/src/test/java/org/spoolline/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/spoolline/simulation/NetworkPartitionTest.java
@@ -20,7 +20,7 @@
 class NetworkPartitionTest {
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void leaderAloneLosesKeyValueStore(int seed) {
+    void leaderIsPartitionedFromKeyValueStore(int seed) {
         runScenario(seed, 300, simulation -> {
             String leader = leader(simulation);
             simulation.network.setLink(leader, Network.KEY_VALUE_STORE, LinkState.LOST);
@@ -107,17 +107,19 @@
         simulation.run(3);
         simulation.users.submit(simulation.users.job("blue", "batch", 6, 1, 200));
         simulation.run(37);
-        String old = leader(simulation);
+        String isolatedLeader = leader(simulation);
         for (String other : List.of("node-0", "node-1", "node-2", Network.KEY_VALUE_STORE)) {
-            if (!other.equals(old)) {
-                simulation.network.setLink(old, other, LinkState.LOST);
+            if (!other.equals(isolatedLeader)) {
+                simulation.network.setLink(isolatedLeader, other, LinkState.LOST);
             }
         }
         // The isolated leader may answer them for about 24 s.
         simulation.run(19);
-        assertFalse(old.equals(simulation.leader()));
+        assertFalse(isolatedLeader.equals(simulation.leader()));
         for (FakeWorker worker : simulation.workers().values()) {
-            assertTrue(worker.isDown() || !worker.heartbeatTarget().equals(old), "seed " + seed + ": " + worker.name);
+            assertTrue(
+                    worker.isDown() || !worker.heartbeatTarget().equals(isolatedLeader),
+                    "seed " + seed + ": " + worker.name);
         }
         assertEquals(List.of(), simulation.invariants.violations());
     }
@@ -128,16 +130,18 @@
         runScenario(seed, 500, simulation -> {
             simulation.network.duplicateHeartbeats(30_000);
             FakeWorker worker = busyWorker(simulation);
-            String old = leader(simulation);
+            String isolatedLeader = leader(simulation);
             for (String node : NODES) {
                 simulation.network.setOneWay(node, worker.name, LinkState.LOST);
-                if (!node.equals(old)) {
-                    simulation.network.setLink(old, node, LinkState.DELAYED);
-                    simulation.at(40_000, () -> simulation.network.setLink(old, node, LinkState.CONNECTED));
+                if (!node.equals(isolatedLeader)) {
+                    simulation.network.setLink(isolatedLeader, node, LinkState.DELAYED);
+                    simulation.at(40_000, () -> simulation.network.setLink(isolatedLeader, node, LinkState.CONNECTED));
                 }
             }
-            simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.DELAYED);
-            simulation.at(40_000, () -> simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.CONNECTED));
+            simulation.network.setLink(isolatedLeader, Network.KEY_VALUE_STORE, LinkState.DELAYED);
+            simulation.at(
+                    40_000,
+                    () -> simulation.network.setLink(isolatedLeader, Network.KEY_VALUE_STORE, LinkState.CONNECTED));
             simulation.at(100_000, () -> simulation.network.duplicateHeartbeats(0));
         });
     }
--- a/src/test/java/org/spoolline/simulation/QuotaAfterOutageTest.java
+++ b/src/test/java/org/spoolline/simulation/QuotaAfterOutageTest.java
@@ -32,7 +32,7 @@
     }
 
     /** A deployment under load, as an outage begins. */
-    private static Simulation beginOutage(int seed) {
+    private static Simulation runUntilOutage(int seed) {
         Simulation simulation = new Simulation(seed, TEAM_SCALE);
         simulation.controllers.limitWrites(WRITES_PER_S);
         simulation.run(3);
@@ -43,16 +43,16 @@
         return simulation;
     }
 
-    private static void assertLimitHoldsAfterwards(Simulation simulation, int seed) {
+    private static void assertLimitHoldsAfterOutage(Simulation simulation, int seed) {
         int startsBefore = simulation.invariants.starts();
         simulation.run(OUTAGE_S + 40);
         assertTrue(simulation.invariants.starts() > startsBefore, "expected tasks to start after the outage");
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
-        assertEquals(0, countOnAll(simulation, Event.LAUNCH_OF_RELEASED_ATTEMPT), "seed " + seed);
-        assertEquals(0, countOnAll(simulation, Event.TEAM_EXCEEDS_QUOTA), "seed " + seed);
+        assertEquals(0, countOnAllControllers(simulation, Event.LAUNCH_OF_RELEASED_ATTEMPT), "seed " + seed);
+        assertEquals(0, countOnAllControllers(simulation, Event.TEAM_EXCEEDS_QUOTA), "seed " + seed);
     }
 
-    private static long countOnAll(Simulation simulation, Event event) {
+    private static long countOnAllControllers(Simulation simulation, Event event) {
         return NODES.stream()
                 .mapToLong(node -> simulation.controllers.countOf(node, event))
                 .sum();
@@ -61,17 +61,17 @@
     @ParameterizedTest
     @MethodSource(Seeds.THREE_TIMES_AS_MANY)
     void limitHoldsAfterOutageBeyondWorkerLease(int seed) {
-        assertLimitHoldsAfterwards(beginOutage(seed), seed);
+        assertLimitHoldsAfterOutage(runUntilOutage(seed), seed);
     }
 
     /** The leader's view stays old for a moment: it hears the workers, but may not answer them yet. */
     @ParameterizedTest
     @MethodSource(Seeds.THREE_TIMES_AS_MANY)
-    void limitHoldsWhileTheFirstWatchesAfterAnOutageAreLost(int seed) {
-        Simulation simulation = beginOutage(seed);
+    void limitHoldsWhileWatchResponsesAfterOutageAreLost(int seed) {
+        Simulation simulation = runUntilOutage(seed);
         String leader = leader(simulation);
-        double lostS = 1 + simulation.random.nextDouble() * 2;
-        simulation.at((long) (OUTAGE_S * 1_000), () -> simulation.store.loseWatchResponses(leader, lostS));
-        assertLimitHoldsAfterwards(simulation, seed);
+        double responsesLostS = 1 + simulation.random.nextDouble() * 2;
+        simulation.at((long) (OUTAGE_S * 1_000), () -> simulation.store.loseWatchResponses(leader, responsesLostS));
+        assertLimitHoldsAfterOutage(simulation, seed);
     }
 }
--- a/src/test/java/org/spoolline/simulation/ReleasedAttemptsTest.java
+++ b/src/test/java/org/spoolline/simulation/ReleasedAttemptsTest.java
@@ -18,7 +18,7 @@
  * leader nor the next one may launch them beside what took their place.
  */
 class ReleasedAttemptsTest {
-    private static final int SCARCE_WRITES_PER_S = 12;
+    private static final int WRITES_PER_S = 12;
     private static final int TEAM_SCALE = 4;
 
     /** Arrays that save checkpoints, and critical gangs that preempt them. */
@@ -50,20 +50,22 @@
     @MethodSource(Seeds.TWICE_AS_MANY)
     void preemptedAttemptsWhoseReleaseIsDeferredAreNotLaunched(int seed) {
         Simulation simulation = new Simulation(seed, TEAM_SCALE);
-        simulation.controllers.limitWrites(SCARCE_WRITES_PER_S);
+        simulation.controllers.limitWrites(WRITES_PER_S);
         simulation.cloud.capacity = 2;
         simulation.run(3);
         submitCompetingJobs(simulation);
         simulation.run(130);
-        assertTrue(countOnAll(simulation, Event.ATTEMPT_RELEASED) > 0, "expected attempts to end");
-        assertTrue(countOnAll(simulation, Event.WRITE_DEFERRED) > 0, "expected writes to be deferred");
+        assertTrue(countOnAllControllers(simulation, Event.ATTEMPT_RELEASED) > 0, "expected attempts to end");
+        assertTrue(countOnAllControllers(simulation, Event.WRITE_DEFERRED) > 0, "expected writes to be deferred");
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
-        assertEquals(0, countOnAll(simulation, Event.LAUNCH_OF_RELEASED_ATTEMPT), "seed " + seed);
+        assertEquals(0, countOnAllControllers(simulation, Event.LAUNCH_OF_RELEASED_ATTEMPT), "seed " + seed);
         assertEquals(
-                0, countOnAll(simulation, Event.LAUNCH_WITHHELD_TEAM_LIMIT), "a leader's placements fit the limit");
+                0,
+                countOnAllControllers(simulation, Event.LAUNCH_WITHHELD_TEAM_LIMIT),
+                "a leader's placements fit the limit");
     }
 
-    private static long countOnAll(Simulation simulation, Event event) {
+    private static long countOnAllControllers(Simulation simulation, Event event) {
         return NODES.stream()
                 .mapToLong(node -> simulation.controllers.countOf(node, event))
                 .sum();
@@ -85,16 +87,16 @@
                 .toList();
         assertTrue(idle.size() >= 8, "expected idle machines, found " + idle.size());
         simulation.controllers.crashFor(leader(simulation), 8);
-        SimulatedJob released = storeWithAttempts(simulation, idle.subList(0, 4));
-        SimulatedJob placedInstead = storeWithAttempts(simulation, idle.subList(4, 8));
+        SimulatedJob releasedJob = storeWithAttempts(simulation, idle.subList(0, 4));
+        SimulatedJob replacementJob = storeWithAttempts(simulation, idle.subList(4, 8));
         simulation.run(20);
         assertTrue(
-                countOnAll(simulation, Event.LAUNCH_WITHHELD_TEAM_LIMIT) > 0,
+                countOnAllControllers(simulation, Event.LAUNCH_WITHHELD_TEAM_LIMIT) > 0,
                 "expected the new leader to find the team over its limit");
         simulation.run(150);
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
-        assertEquals("done", released.status(), "seed " + seed);
-        assertEquals("done", placedInstead.status(), "seed " + seed);
+        assertEquals("done", releasedJob.status(), "seed " + seed);
+        assertEquals("done", replacementJob.status(), "seed " + seed);
     }
 
     /** Stores an accepted job of the red team with an attempt on each of the machines, and lets its user ask for it. */
--- a/src/test/java/org/spoolline/simulation/RollingUpgradeTest.java
+++ b/src/test/java/org/spoolline/simulation/RollingUpgradeTest.java
@@ -33,12 +33,12 @@
         simulation.run(22);
         SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 10));
         simulation.run(1);
-        SimulatedJob early = simulation.users.submit(
+        SimulatedJob dependent = simulation.users.submit(
                 simulation.users.job("blue", "batch", 1, 1, 5).dependingOn(root));
         simulation.run(5);
-        assertFalse(early.accepted(), "seed " + seed);
+        assertFalse(dependent.accepted(), "seed " + seed);
         simulation.run(120);
-        assertEquals("done", early.status(), "seed " + seed);
+        assertEquals("done", dependent.status(), "seed " + seed);
         Workloads.assertEveryJobDone(simulation, seed);
     }
 
@@ -79,7 +79,7 @@
             simulation.run(12);
         }
         simulation.controllers.crashFor(leader(simulation), 3);
-        simulation.users.cancel(chains.get(0).check);
+        simulation.users.cancel(chains.get(0).firstStage);
         simulation.at(20_000, simulation.invariants::faultsEnded);
         simulation.run(250);
         simulation.invariants.checkAtEnd();
@@ -87,6 +87,6 @@
         for (SimulatedJob job : simulation.users.jobs()) {
             assertTrue(List.of("done", "aborted").contains(job.status()), "seed " + seed + ": " + job.jobId());
         }
-        assertEquals("done", chains.get(1).deliver.status(), "seed " + seed);
+        assertEquals("done", chains.get(1).lastStage.status(), "seed " + seed);
     }
 }
--- a/src/test/java/org/spoolline/simulation/SimulationTest.java
+++ b/src/test/java/org/spoolline/simulation/SimulationTest.java
@@ -13,7 +13,7 @@
     /** A failing seed can only be examined again if it replays exactly. */
     @Test
     void sameSeedReplaysTheSameScenario() {
-        List<String> days = new ArrayList<>();
+        List<String> outcomes = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             Simulation simulation = new Simulation(9);
             simulation.run(3);
@@ -22,9 +22,9 @@
             }
             simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 3));
             simulation.run(90);
-            days.add(simulation.invariants.starts() + " " + simulation.store.value("token") + " "
+            outcomes.add(simulation.invariants.starts() + " " + simulation.store.value("token") + " "
                     + simulation.workers().keySet() + " " + simulation.random.nextLong());
         }
-        assertEquals(days.get(0), days.get(1));
+        assertEquals(outcomes.get(0), outcomes.get(1));
     }
 }
--- a/src/test/java/org/spoolline/simulation/StaleLeaderTest.java
+++ b/src/test/java/org/spoolline/simulation/StaleLeaderTest.java
@@ -31,7 +31,7 @@
             }
             simulation.run(40 + simulation.random.nextInt(3_000) / 1_000.0);
             leader = simulation.leader();
-            assertTrue(running() > 0, "expected running tasks");
+            assertTrue(runningTaskCount() > 0, "expected running tasks");
         }
 
         private Stream<SimulatedTask> runningTasks() {
@@ -40,11 +40,11 @@
                     .filter(t -> t.phase() == SimulatedTask.Phase.RUNNING);
         }
 
-        long running() {
+        long runningTaskCount() {
             return runningTasks().count();
         }
 
-        long confirmedRunning() {
+        long runningTasksOfCancelledJobs() {
             return runningTasks()
                     .filter(t -> simulation.users.job(t.jobId()).status().equals("aborted"))
                     .count();
@@ -54,12 +54,14 @@
             jobs.forEach(simulation.users::cancel);
         }
 
-        long confirmed() {
+        long confirmedCancellations() {
             return jobs.stream().filter(j -> j.status().equals("aborted")).count();
         }
 
-        void assertSomeConfirmed() {
-            assertTrue(confirmed() > 0, "expected a cancellation confirmed while the leader alone is rejected");
+        void assertSomeCancellationsConfirmed() {
+            assertTrue(
+                    confirmedCancellations() > 0,
+                    "expected a cancellation confirmed while the leader alone is rejected");
         }
     }
 
@@ -69,7 +71,7 @@
         faults.accept(longJobs, longJobs.simulation);
         longJobs.simulation.run(seconds);
         assertEquals(List.of(), longJobs.simulation.invariants.violations(), "seed " + seed);
-        assertEquals(longJobs.jobs.size(), longJobs.confirmed(), "seed " + seed);
+        assertEquals(longJobs.jobs.size(), longJobs.confirmedCancellations(), "seed " + seed);
     }
 
     @ParameterizedTest
@@ -99,15 +101,15 @@
             simulation.store.rejectHost(longJobs.leader, 14);
             simulation.at(200, longJobs::cancelAll);
             simulation.at(2_600, () -> {
-                longJobs.assertSomeConfirmed();
-                assertTrue(peersReachLeader || longJobs.running() > 0, "expected tasks to run on");
+                longJobs.assertSomeCancellationsConfirmed();
+                assertTrue(peersReachLeader || longJobs.runningTaskCount() > 0, "expected tasks to run on");
                 simulation.store.outage(65);
             });
             simulation.at(
                     9_000,
                     () -> assertEquals(
                             peersReachLeader,
-                            longJobs.confirmedRunning() == 0,
+                            longJobs.runningTasksOfCancelledJobs() == 0,
                             "whether no task of a confirmed cancellation runs"));
             simulation.at(
                     10_000,
@@ -128,7 +130,7 @@
             simulation.at(2_000, longJobs::cancelAll);
             // By then the confirmation is old; only the leadership renewals are recent.
             simulation.at(20_000, () -> {
-                longJobs.assertSomeConfirmed();
+                longJobs.assertSomeCancellationsConfirmed();
                 simulation.store.outage(65);
             });
         });
@@ -147,7 +149,7 @@
                     simulation.at(1_500, () -> simulation.store.outage(14));
                 });
             }
-            simulation.at(2_500, longJobs::assertSomeConfirmed);
+            simulation.at(2_500, longJobs::assertSomeCancellationsConfirmed);
         });
     }
 
@@ -159,7 +161,7 @@
             simulation.store.dropListings(100);
             simulation.controllers.crashFor(longJobs.leader, 0.3);
             simulation.at(100, longJobs::cancelAll);
-            simulation.at(6_000, longJobs::assertSomeConfirmed);
+            simulation.at(6_000, longJobs::assertSomeCancellationsConfirmed);
             for (int i = 1; i <= 10; i++) {
                 simulation.at(i * 9_000L, () -> simulation.controllers.crashFor(Workloads.leader(simulation), 0.3));
             }
--- a/src/test/java/org/spoolline/simulation/StallTest.java
+++ b/src/test/java/org/spoolline/simulation/StallTest.java
@@ -18,7 +18,7 @@
     /**
      * Seconds after the last fault until waiting jobs start: an election, a boot, an image pull and a rejected offer.
      */
-    private static final double STARTS_WITHIN_S = 75;
+    private static final double MAX_START_DELAY_S = 75;
 
     /** When no task starts, the status says why. */
     @Test
@@ -61,7 +61,7 @@
         long startsBefore = simulation.invariants.starts();
         // Users may have given up earlier submissions; this one is made without faults.
         simulation.users.submit(Workloads.mixedJob(simulation, 0));
-        simulation.run(STARTS_WITHIN_S);
+        simulation.run(MAX_START_DELAY_S);
         assertTrue(simulation.invariants.starts() > startsBefore, "seed " + seed + ": expected a task to start");
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
@@ -112,10 +112,10 @@
     }
 
     private static JsonNode counters(Simulation simulation, String node) {
-        List<Http.Response> answers = new ArrayList<>();
+        List<Http.Response> responses = new ArrayList<>();
         Http.Request request = new Http.Request("GET", Controller.COUNTERS, "", new byte[0]);
-        simulation.controllers.controller(node).servePeer(request, answers::add);
-        assertEquals(200, answers.get(0).status());
-        return Json.read(answers.get(0).body());
+        simulation.controllers.controller(node).servePeer(request, responses::add);
+        assertEquals(200, responses.get(0).status());
+        return Json.read(responses.get(0).body());
     }
 }
--- a/src/test/java/org/spoolline/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/spoolline/simulation/StoreLimitsTest.java
@@ -27,15 +27,15 @@
         }
         simulation.run(25);
         simulation.store.lowerLimits(2_048, 4);
-        simulation.at(5_000, () -> simulation.users.cancel(chains.get(0).merge));
+        simulation.at(5_000, () -> simulation.users.cancel(chains.get(0).thirdStage));
         simulation.at(12_000, () -> simulation.controllers.crashFor(leader(simulation), 4));
         simulation.at(60_000, simulation.invariants::faultsEnded);
         simulation.run(420);
         simulation.invariants.checkAtEnd();
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         assertEquals("done", wide.status(), "seed " + seed);
-        assertEquals("aborted", chains.get(0).deliver.status(), "seed " + seed);
-        assertEquals("done", chains.get(2).deliver.status(), "seed " + seed);
+        assertEquals("aborted", chains.get(0).lastStage.status(), "seed " + seed);
+        assertEquals("done", chains.get(2).lastStage.status(), "seed " + seed);
         // Each controller may discover the limit once, with one further batch in flight.
         assertTrue(
                 simulation.store.oversizedCommits() <= 12,
@@ -109,9 +109,9 @@
                 1_285,
                 simulation.store.value("job/" + wide.jobId()).path("unlisted").asInt());
         // Until its attempts have terminated they count against the team's quota of 1,024 cores.
-        SimulatedJob next = simulation.users.submit(simulation.users.job("blue", "batch", 1_600, 0.5, 200));
+        SimulatedJob laterJob = simulation.users.submit(simulation.users.job("blue", "batch", 1_600, 0.5, 200));
         simulation.run(20);
-        int placed = Pipeline.decode(simulation.store.value("job/" + next.jobId()))
+        int placed = Pipeline.decode(simulation.store.value("job/" + laterJob.jobId()))
                 .attempts()
                 .size();
         assertTrue(placed > 0 && placed <= 2_048 - 1_285, "seed " + seed + ": " + placed + " placed");
--- a/src/test/java/org/spoolline/simulation/UserRequestsTest.java
+++ b/src/test/java/org/spoolline/simulation/UserRequestsTest.java
@@ -21,8 +21,8 @@
         simulation.run(3);
         for (int i = 0; i < 8; i++) {
             SimulatedJob job = simulation.users.submit(mixedJob(simulation, i));
-            long after = i * 4_000L + simulation.random.nextInt(3_000);
-            simulation.at(after, () -> simulation.users.cancel(job));
+            long delayMs = i * 4_000L + simulation.random.nextInt(3_000);
+            simulation.at(delayMs, () -> simulation.users.cancel(job));
         }
         simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 5));
         simulation.run(200);
@@ -46,7 +46,7 @@
     void invalidSubmissionsAreRejectedAndRepeatsAreIdempotent() {
         Simulation simulation = new Simulation(11);
         simulation.run(6);
-        SimulatedJob good = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 20));
+        SimulatedJob validJob = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 20));
         List<SimulatedJob> invalid = new ArrayList<>();
         for (String field : List.of(
                 "lane",
@@ -90,15 +90,15 @@
                 simulation.users.job("blue", "group", 3, 1, 5).with("yard", "a").with("scatter", true));
         invalid.forEach(j -> simulation.users.submit(j.markInvalid()));
         simulation.run(12);
-        simulation.users.submit(good);
+        simulation.users.submit(validJob);
         simulation.run(60);
         assertEquals(List.of(), simulation.invariants.violations());
         invalid.forEach(j -> assertTrue(j.rejected(), j.jobId() + " was not rejected"));
-        assertEquals("done", good.status());
-        simulation.users.cancel(good);
-        simulation.users.submit(good);
+        assertEquals("done", validJob.status());
+        simulation.users.cancel(validJob);
+        simulation.users.submit(validJob);
         simulation.run(5);
-        assertEquals("done", good.status());
+        assertEquals("done", validJob.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
 }
--- a/src/test/java/org/spoolline/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/WorkerFaultsTest.java
@@ -59,7 +59,7 @@
     /** A worker that restarts at once has lost its earlier tasks, fencing token and message counter. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void workersRestartWithinAFractionOfASecond(int seed) {
+    void workersRestartWithin300Ms(int seed) {
         runScenario(seed, 400, simulation -> {
             simulation.network.duplicateHeartbeats(30_000);
             for (int i = 0; i < 6; i++) {
@@ -78,18 +78,18 @@
     }
 
     @Test
-    void jobThatFailsEverywhereTakesNoMachineDown() {
+    void jobThatFailsEverywhereDoesNotBlockOthers() {
         Simulation simulation = new Simulation(7);
         simulation.run(3);
-        SimulatedJob bad = simulation.users.submit(
+        SimulatedJob failingJob = simulation.users.submit(
                 simulation.users.job("red", "batch", 3, 1, 5).failingEverywhere());
-        SimulatedJob good = simulation.users.submit(simulation.users.job("blue", "batch", 8, 1, 10));
+        SimulatedJob otherJob = simulation.users.submit(simulation.users.job("blue", "batch", 8, 1, 10));
         simulation.run(120);
-        assertEquals("done", good.status());
-        assertFalse(List.of("done", "aborted").contains(bad.status()));
-        simulation.users.cancel(bad);
+        assertEquals("done", otherJob.status());
+        assertFalse(List.of("done", "aborted").contains(failingJob.status()));
+        simulation.users.cancel(failingJob);
         simulation.run(60);
-        assertEquals("aborted", bad.status());
+        assertEquals("aborted", failingJob.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
 }
--- a/src/test/java/org/spoolline/simulation/WorkloadTest.java
+++ b/src/test/java/org/spoolline/simulation/WorkloadTest.java
@@ -42,7 +42,7 @@
     /** Wide and narrow, urgent and standard: no class's largest job waits for a stream of small ones. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void largestJobsStartBesideStreamOfSmallJobs(int seed) {
+    void streamOfSmallJobsDoesNotStarveLargestJobs(int seed) {
         Simulation simulation = new Simulation(seed, 16);
         simulation.cloud.capacity = 20;
         simulation.run(3);
@@ -149,7 +149,7 @@
         assertEquals(
                 List.of(),
                 simulation.invariants.violations().stream()
-                        .filter(b -> !b.contains("unserved"))
+                        .filter(violation -> !violation.contains("unserved"))
                         .toList(),
                 "seed " + seed);
     }
