--- a/src/test/java/org/spoolline/simulation/CloudFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/CloudFaultsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.net.Json;
 
-/** Scale out and scale in against a cloud that is down, short of capacity, slow or preempts machines. */
+/** Scale out and scale in while the cloud is down, short of capacity, slow or preempts machines. */
 class CloudFaultsTest {
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
@@ -43,7 +43,10 @@
         runScenario(seed, 500, simulation -> simulation.cloud.capacity = 1);
     }
 
-    /** An offer that was requested just before leadership lapsed must be requested again. */
+    /**
+     * The leadership lapses while a scale-out request is delayed on its way to the cloud. Once the controller leads
+     * again, it must be able to request machines of the same type and zone again.
+     */
     @Test
     void scaleOutIsRetriedAfterLeadershipLapse() {
         Simulation simulation = new Simulation(6);
--- a/src/test/java/org/spoolline/simulation/ConcurrentFaults.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentFaults.java
@@ -8,12 +8,12 @@
 final class ConcurrentFaults {
     private ConcurrentFaults() {}
 
-    /** The workers whose machines are up. */
+    /** Returns the workers whose machines are up. */
     static List<FakeWorker> liveWorkers(Simulation simulation) {
         return simulation.workers().values().stream().filter(w -> !w.isDown()).toList();
     }
 
-    /** The first controller that does not lead. */
+    /** Returns the name of the first controller that is not the leader. */
     static String firstFollower(Simulation simulation) {
         String leader = Workloads.leader(simulation);
         return NODES.stream()
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Users cancel every n-th job that is accepted and not in a terminal state; returns how many. */
+    /** Cancels every n-th job that is accepted and not in a terminal state; returns the number of cancelled jobs. */
     static int cancelEveryNth(Simulation simulation, int every) {
         int n = 0;
         int cancelled = 0;
@@ -49,7 +49,7 @@
         return cancelled;
     }
 
-    /** Submits an array whose tasks outlast leases and elections. */
+    /** Submits a job array whose tasks run for longer than leases and elections last. */
     static SimulatedJob submitLongJob(Simulation simulation, String team, int tasks, double cores) {
         return simulation.users.submit(simulation.users.job(team, "batch", tasks, cores, 70));
     }
--- a/src/test/java/org/spoolline/simulation/ConcurrentLeaderFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentLeaderFailuresTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Leader changes that coincide with a second fault. See docs/concurrent-failures.md. */
+/** The leader changes while a second fault is present. docs/concurrent-failures.md lists the combinations. */
 class ConcurrentLeaderFailuresTest {
+    /** The leader crashes every 10 s, the key-value store is down for 15 s, and users cancel jobs meanwhile. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void tenLeaderChangesInTwoMinutesWithAnOutage(int seed) {
@@ -30,8 +31,8 @@
                 submitLongJob(simulation, i % 2 == 0 ? "blue" : "red", 3, 2);
             }
             for (int i = 0; i < 12; i++) {
-                // Restart times spread over the leader key's lease, so that either the same or another controller takes
-                // over.
+                // The downtime of 0.1 to 8 s is shorter or longer than the lease of the leader key, so that either the
+                // same controller or another one is elected.
                 simulation.at(
                         i * 10_000L,
                         () -> simulation.controllers.crashFor(
@@ -47,6 +48,10 @@
         });
     }
 
+    /**
+     * The key-value store is slow, rejects first the requests of the leader and then all requests, and users cancel
+     * jobs meanwhile.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void slowStoreRejectsLeaderThenAllDuringCancellations(int seed) {
@@ -63,7 +68,11 @@
         });
     }
 
-    /** Attempts on unreachable machines count against the quota until their termination is proven, whoever leads. */
+    /**
+     * A new leader must count attempts on unreachable machines against the team's quota until their termination is
+     * proven. The leader crashes while the team is at its quota, the links of two machines are delayed, and two jobs
+     * are cancelled.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void quotaHoldsAcrossLeaderChangeWithUnreachableWorkers(int seed) {
@@ -97,6 +106,10 @@
         }
     }
 
+    /**
+     * The leader loses its links to the other controllers and the key-value store, but still answers workers. Jobs that
+     * users then cancel through the new leader must still terminate in time.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void isolatedLeaderKeepsWorkersWhileNewLeaderCancels(int seed) {
@@ -126,6 +139,10 @@
         }
     }
 
+    /**
+     * A third of the workers has delayed links to the controllers, and another third receives nothing from them, when
+     * the leader crashes.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderCrashesWhileWorkersAreUnreachable(int seed) {
@@ -153,7 +170,10 @@
         });
     }
 
-    /** A completion acknowledged by one leader is counted exactly once by the next. */
+    /**
+     * A new leader must count a completion that the previous leader has acknowledged exactly once. Leaders crash while
+     * jobs are partly complete, and the responses to two commits are lost.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void completionsAreCountedOnceAcrossLeaderChanges(int seed) {
@@ -184,6 +204,7 @@
         return jobs.stream().anyMatch(j -> simulation.invariants.completedCount(j.jobId()) % j.tasks() != 0);
     }
 
+    /** All controllers crash right after cancellations and stay down for longer than the worker lease. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void allControllersDownBeyondWorkerLeaseAfterCancellations(int seed) {
@@ -195,7 +216,10 @@
         });
     }
 
-    /** Commits of elections, submissions, cancellations, cycles and completions are applied late, after newer ones. */
+    /**
+     * A quarter of the commits of elections, submissions, cancellations, scheduling cycles and completions get no
+     * response and reach the key-value store late, after newer commits.
+     */
     @Test
     void commitsAreAppliedAfterNewerOnes() {
         int[] delayedAndApplied = new int[2];
@@ -217,10 +241,11 @@
         }
         assertTrue(
                 delayedAndApplied[0] > 20 && delayedAndApplied[1] > 0,
-                "expected delayed commits and applied ones: delayed " + delayedAndApplied[0] + ", applied "
-                        + delayedAndApplied[1]);
+                "expected more than 20 delayed commits, and at least one of them applied: delayed "
+                        + delayedAndApplied[0] + ", applied " + delayedAndApplied[1]);
     }
 
+    /** The current leader stalls four times; then all controllers crash and restart at different times. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void controllersStallInTurnThenAllCrash(int seed) {
--- a/src/test/java/org/spoolline/simulation/ConcurrentWorkerFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentWorkerFailuresTest.java
@@ -23,8 +23,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Worker, network and load faults that coincide with a second fault. See docs/concurrent-failures.md. */
+/**
+ * Worker, network and load faults while a second fault is present. docs/concurrent-failures.md lists the combinations.
+ */
 class ConcurrentWorkerFailuresTest {
+    /**
+     * Machines of jobs with zone constraints lose power or their links to the controllers, and the leader crashes
+     * meanwhile.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void singleZoneJobsLoseMachinesAcrossLeaderChange(int seed) {
@@ -61,6 +67,10 @@
         assertEveryJobDone(simulation, seed);
     }
 
+    /**
+     * Responses to heartbeats are delayed for 2 to 7 s while the worker continues to run; workers also hang and jobs
+     * are cancelled.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void heartbeatResponsesAreDelayedWhileWorkersRun(int seed) {
@@ -82,6 +92,7 @@
         });
     }
 
+    /** Jobs of several urgency classes exceed the capacity of the cloud while links are slow and the leader crashes. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void overloadWithMixedUrgencyOverSlowLinks(int seed) {
@@ -102,7 +113,10 @@
         });
     }
 
-    /** Workers in the partitioned zone stay with its controller for as long as that may answer them. */
+    /**
+     * Partitions zone a with one controller from the other controllers, the key-value store, the cloud and the users
+     * for 40 s. Workers of the zone stay with this controller for as long as it may answer their heartbeats.
+     */
     private static void partitionZoneWithController(int seed, Function<Simulation, String> chooseController) {
         runScenario(seed, 480, simulation -> {
             submitLongJob(simulation, "blue", 8, 2);
@@ -143,7 +157,10 @@
         partitionZoneWithController(seed, ConcurrentFaults::firstFollower);
     }
 
-    /** Without an uplink a worker renews nothing: its tasks end with its lease and must not start elsewhere before. */
+    /**
+     * Workers can't send heartbeats, although commands still reach them, so their leases are not renewed. Their tasks
+     * terminate when the lease expires, and the leader must not start them on other machines before that.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workersWithoutUplinkStillReceiveCommands(int seed) {
@@ -159,6 +176,10 @@
         });
     }
 
+    /**
+     * The leader crashes, and the new leader receives delayed and duplicated heartbeats that are older than its
+     * election.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void delayedHeartbeatsReachNewLeader(int seed) {
@@ -167,7 +188,8 @@
             submitLongJob(simulation, "red", 4, 2);
             simulation.at(14_000, () -> {
                 String nextLeader = firstFollower(simulation);
-                // Heartbeats sent there now arrive once it leads, along with duplicates of later ones.
+                // Heartbeats sent to this controller now arrive after it has become leader, along with duplicates of
+                // later ones.
                 simulation.network.setOneWay(Network.WORKERS, nextLeader, LinkState.DELAYED);
                 simulation.network.duplicateHeartbeats(40_000);
                 simulation.controllers.crashFor(leader(simulation), 9);
@@ -181,6 +203,10 @@
         });
     }
 
+    /**
+     * Workers hang and restart while duplicates of their heartbeats arrive up to 50 s late, after heartbeats of a newer
+     * incarnation.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void staleHeartbeatsOfEarlierIncarnationsArriveLate(int seed) {
@@ -201,6 +227,7 @@
         });
     }
 
+    /** A user cancels, polls and resubmits a job at the moment its last task completes. */
     @Test
     void cancellationPollAndResubmissionCoincideWithCompletion() {
         int[] cancelledAtCompletion = new int[1];
@@ -219,7 +246,10 @@
                 "expected more than 10 cancellations at completion, got " + cancelledAtCompletion[0]);
     }
 
-    /** All cancellations arrive within 200 ms, and the workers hang right after them. */
+    /**
+     * All jobs are cancelled within 200 ms, up to 8 workers hang within 400 ms, and the leader crashes after 1 s. The
+     * tasks must still terminate in time.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void jobsAreCancelledTogetherWhileWorkersHang(int seed) {
--- a/src/test/java/org/spoolline/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/ControllerFaultsTest.java
@@ -53,7 +53,7 @@
             String leader = leader(simulation);
             simulation.controllers.crash(leader);
             for (int i = 0; i < 12; i++) {
-                // Around lease expiry, when the others campaign.
+                // Around the expiry of the crashed leader's lease, when the other controllers campaign.
                 String node = "node-" + i % 3;
                 simulation.at(4_000 + i * 170L, () -> simulation.controllers.crashFor(node, 0.1));
             }
@@ -61,7 +61,10 @@
         });
     }
 
-    /** After the stall, queued requests must not be answered under a leadership that has expired. */
+    /**
+     * Requests that queue up during a stall must not be answered afterwards on the basis of a leadership that has
+     * expired.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderStallsForLongerThanItsLease(int seed) {
@@ -77,7 +80,10 @@
         });
     }
 
-    /** A controller that restarts at once need not wait for the lease of its own earlier process. */
+    /**
+     * A leader that restarts immediately must be elected again without waiting until the lease of its previous process
+     * expires.
+     */
     @Test
     void restartedLeaderDoesNotWaitForItsOwnLease() {
         Simulation simulation = new Simulation(8);
@@ -90,7 +96,10 @@
         assertTrue(simulation.store.value("token").path("n").asLong() > token);
     }
 
-    /** A new leader has received no heartbeat yet: it must not take running machines for ones that failed to boot. */
+    /**
+     * A new leader that has not received any heartbeats yet must not scale in running machines as if they had failed to
+     * boot.
+     */
     @Test
     void newLeaderKeepsMachinesThatAreUp() {
         Simulation simulation = new Simulation(4);
--- a/src/test/java/org/spoolline/simulation/DependencyChain.java
+++ b/src/test/java/org/spoolline/simulation/DependencyChain.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Four stages of dependent jobs, the second of two jobs: each job is submitted once its dependencies are accepted. */
+/**
+ * Five jobs in four stages, each of which depends on the previous stage. The second stage has two jobs. Each job is
+ * submitted once its dependencies are accepted.
+ */
 final class DependencyChain {
     final Simulation simulation;
     final SimulatedJob firstStage;
@@ -37,7 +40,7 @@
         jobs.add(lastStage);
     }
 
-    /** Submits all jobs in order, each as soon as the one before it is accepted. */
+    /** Submits all jobs in order, each as soon as the previous one is accepted. */
     DependencyChain submit() {
         submitFrom(0);
         return this;
@@ -60,8 +63,8 @@
     }
 
     /**
-     * Three chains, a fault while the second is under way, and time to recover: every job ends and no invariant is
-     * violated.
+     * Submits three chains, injects a fault at 40 s while the second chain is running, and leaves time to recover.
+     * Every job must reach a terminal state and no invariant may be violated.
      */
     static void runThreeChains(int seed, double seconds, Consumer<List<DependencyChain>> fault) {
         Simulation simulation = new Simulation(seed);
@@ -84,7 +87,7 @@
         }
     }
 
-    /** A minute from now every accepted job of the chain is done or cancelled. */
+    /** Asserts in 60 s of simulated time that every accepted job of the chain is done or cancelled. */
     static void expectAllCancelledOrDone(DependencyChain chain) {
         for (SimulatedJob job : chain.jobs) {
             chain.simulation.at(60_000, () -> {
--- a/src/test/java/org/spoolline/simulation/DependentJobFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/DependentJobFailuresTest.java
@@ -74,7 +74,10 @@
         });
     }
 
-    /** After the outage no poll may report a job as waiting whose dependency has long been cancelled. */
+    /**
+     * After an outage of the key-value store that is longer than cancel_s, no poll may report a job as pending if one
+     * of its dependencies was cancelled before the outage.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void rootIsCancelledBeforeOutageBeyondCancelBound(int seed) {
@@ -126,8 +129,8 @@
     }
 
     /**
-     * A leader that can't list the jobs writes nothing: every controller still reports dependents of a cancelled job as
-     * cancelled.
+     * A leader that can't list the jobs does not write the cancellation of dependents. Every controller must still
+     * report the dependents of a cancelled job as cancelled.
      */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
--- a/src/test/java/org/spoolline/simulation/DependentJobsTest.java
+++ b/src/test/java/org/spoolline/simulation/DependentJobsTest.java
@@ -12,7 +12,7 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** Jobs that depend on others: order, cancellation and validation of submissions. */
+/** Jobs that depend on other jobs: execution order, cancellation and validation of submissions. */
 class DependentJobsTest {
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
@@ -133,7 +133,10 @@
         assertEquals(List.of(), simulation.invariants.violations());
     }
 
-    /** A submission with many dependencies is accepted, or rejected at once with the bound. */
+    /**
+     * A submission with 60 dependencies is accepted. One with 4,000 exceeds the bound on its size and is rejected with
+     * 400 and the bound in the response.
+     */
     @Test
     void tooManyDependenciesAreRejectedWithTheBound() {
         Simulation simulation = new Simulation(3, 1, 1_000);
--- a/src/test/java/org/spoolline/simulation/FleetTest.java
+++ b/src/test/java/org/spoolline/simulation/FleetTest.java
@@ -11,7 +11,8 @@
 /** Deployments of hundreds to thousands of machines, where bounds on sockets, requests and time matter. */
 class FleetTest {
     /**
-     * Runs job arrays and gangs of two teams on over a thousand machines; the fault follows 70 s after the first jobs.
+     * Runs job arrays and gangs of two teams on over a thousand machines, and injects the fault 70 s after the first
+     * jobs.
      */
     private static void runFleet(int seed, Workloads.Fault fault) {
         Simulation simulation = new Simulation(seed, 200, 500);
@@ -40,7 +41,10 @@
         assertEveryJobDone(simulation, seed);
     }
 
-    /** No internal bound may lie below the users' fleet size: all machines get work, also after a leader crash. */
+    /**
+     * Internal bounds must not be lower than the fleet size that users need: more than 4,000 machines run tasks, and
+     * all jobs complete after a leader crash.
+     */
     @Test
     void fourThousandMachinesRunAcrossLeaderChange() {
         Simulation simulation = new Simulation(1, 1_200, 2_000);
@@ -78,7 +82,8 @@
         runFleet(1, simulation -> {
             assertTrue(
                     firstLiveWorkers(simulation, 2_000).size() > 1_000,
-                    "machines: " + firstLiveWorkers(simulation, 2_000).size());
+                    "expected more than 1000 machines, got "
+                            + firstLiveWorkers(simulation, 2_000).size());
             for (int i = 0; i < 3; i++) {
                 String node = "node-" + i;
                 simulation.controllers.crashFor(node, 0.3);
@@ -91,8 +96,8 @@
     }
 
     /**
-     * Each early-heartbeat request holds a socket until its timeout: hundreds at once would leave none for the
-     * key-value store.
+     * Each early-heartbeat request to a hanging worker holds a socket until its timeout. Hundreds of them at a time
+     * would leave no sockets for the key-value store.
      */
     @Test
     void earlyHeartbeatRequestsAreBounded() {
--- a/src/test/java/org/spoolline/simulation/GuestTeamTest.java
+++ b/src/test/java/org/spoolline/simulation/GuestTeamTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A team without a guarantee and without a limit takes what is idle, and leaves when those with a guarantee need it. */
+/**
+ * A team without a guarantee and without a limit may use idle capacity, and must be preempted when a team within its
+ * guarantee needs that capacity.
+ */
 class GuestTeamTest {
     private static final String GUEST = "guest";
 
@@ -24,7 +27,7 @@
                 .with("bookmarkS", 5.0)
                 .with("stashS", 1.0));
         simulation.run(40);
-        assertTrue(simulation.invariants.starts() > 20, "expected the guest to fill the machines");
+        assertTrue(simulation.invariants.starts() > 20, "expected tasks of the guest team on the idle machines");
         SimulatedJob guaranteedJob = simulation.users.submit(simulation.users.job("blue", "batch", 8, 4, 15));
         simulation.run(60);
         assertEquals("done", guaranteedJob.status(), "seed " + seed);
@@ -33,6 +36,7 @@
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
 
+    /** Many small jobs of a team without a limit must all be accepted and complete. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void manySmallGuestJobsComplete(int seed) {
--- a/src/test/java/org/spoolline/simulation/KeyValueStoreFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/KeyValueStoreFaultsTest.java
@@ -48,7 +48,10 @@
         });
     }
 
-    /** One store request per poll would get three polls in four rejected here. */
+    /**
+     * Users poll 700 jobs while the key-value store allows 40 requests/s. If each poll needed one store request, three
+     * of four polls would be rejected.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void pollsOfManyJobsStayWithinStoreRateLimit(int seed) {
@@ -63,7 +66,7 @@
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         assertTrue(
                 simulation.users.unansweredPolls() * 3 < simulation.users.polls(),
-                simulation.users.unansweredPolls() + " of " + simulation.users.polls() + " polls in vain");
+                simulation.users.unansweredPolls() + " of " + simulation.users.polls() + " polls got no status");
     }
 
     @ParameterizedTest
--- a/src/test/java/org/spoolline/simulation/MalformedInputTest.java
+++ b/src/test/java/org/spoolline/simulation/MalformedInputTest.java
@@ -18,12 +18,12 @@
 import org.spoolline.net.Json;
 import org.spoolline.upgrade.ProductionForms;
 
-/** Malformed stored values, machine types, heartbeats and peer requests keep no other job from starting. */
+/** Malformed stored values, machine types, heartbeats and peer requests must not prevent other jobs from starting. */
 class MalformedInputTest {
     private static final List<String> MALFORMED_VALUES =
             List.of("null", "true", "-1", "1e300", "\"odd\"", "[]", "[null]", "{}", "{\"odd\":[1,{}]}");
 
-    /** A valid job starts and completes in time in a simulation with malformed input. */
+    /** Asserts that a valid job completes in time in a simulation with malformed input of the kind named. */
     private static void assertOtherJobCompletes(Simulation simulation, String input) {
         simulation.run(3);
         SimulatedJob job = simulation.users.submit(Workloads.mixedJob(simulation, 0));
@@ -32,7 +32,10 @@
         assertEquals(List.of(), simulation.invariants.violations(), input);
     }
 
-    /** Each field of a stored job in turn is missing or malformed; a leader reads all of these values at once. */
+    /**
+     * Stores many copies of production values, each with one field missing or malformed; the leader reads all of them
+     * together.
+     */
     @Test
     void malformedStoredJobsDoNotBlockOthers() {
         Simulation simulation = new Simulation(5);
@@ -42,22 +45,22 @@
                 String jobId = "run-77" + count++;
                 JsonNode submission = malformed.path("job");
                 if (submission.path("uid").asText().startsWith("run-")) {
-                    // Of the other team, whose quota bounds the machines they take.
+                    // Assigns the copies to team red, whose quota bounds the machines that their tasks use.
                     ((ObjectNode) submission).put("uid", jobId).put("desk", "red");
                 }
                 simulation.store.put("job/" + jobId, malformed);
             }
         }
-        assertTrue(count > 300, "only " + count);
+        assertTrue(count > 300, "expected more than 300 malformed values, got " + count);
         assertOtherJobCompletes(simulation, "stored values");
     }
 
-    /** Such a value must not fail the scheduling cycle. */
+    /** A value that is stored under the key of another job must not make the scheduling cycle fail. */
     @Test
     void jobStoredUnderAnotherKeyDoesNotBlockOthers() {
         Simulation simulation = new Simulation(9);
         simulation.store.put("job/run-771", Json.read(ProductionForms.bytes("accepted.json")));
-        assertOtherJobCompletes(simulation, "a value under another name");
+        assertOtherJobCompletes(simulation, "a value under the key of another job");
     }
 
     @Test
@@ -99,7 +102,7 @@
         assertOtherJobCompletes(simulation, "machine types");
     }
 
-    /** Malformed heartbeats and peer requests reach every controller within half a second. */
+    /** Every controller receives malformed heartbeats and peer requests within half a second. */
     @Test
     void malformedHeartbeatsAndPeerRequestsDoNotBlockOthers() {
         Simulation simulation = new Simulation(8);
@@ -128,13 +131,15 @@
             try {
                 serve.run();
             } catch (RuntimeException e) {
-                // The server's exception boundary answers 503; the test looks at the effect on other jobs.
+                // The HTTP server would catch the exception and answer 503; this test checks only that other jobs
+                // complete.
             }
         }
     }
 
     /**
-     * Copies of the tree with each of its fields, at any depth, left out or replaced by each malformed value in turn.
+     * Returns copies of the tree in which one field, at any depth, is missing or replaced by a malformed value: one
+     * copy for each field and each malformed value.
      */
     private static List<JsonNode> malformedCopies(JsonNode valid) {
         List<JsonNode> copies = new ArrayList<>();
--- a/src/test/java/org/spoolline/simulation/NetworkPartitionTest.java
+++ b/src/test/java/org/spoolline/simulation/NetworkPartitionTest.java
@@ -54,13 +54,16 @@
         });
     }
 
-    /** A leader that no worker reaches would otherwise keep them all waiting until their leases expire. */
+    /**
+     * A leader that receives no heartbeats must step down, because otherwise no worker gets a response before its lease
+     * expires.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderWithoutWorkersStepsDown(int seed) {
         runScenario(seed, 300, simulation -> {
             String oldLeader = leader(simulation);
-            // Machines that boot meanwhile are partitioned too: a leader that receives any heartbeat stays leader.
+            // Covers machines that boot later too, because a leader that receives any heartbeat does not step down.
             simulation.network.setLink(Network.WORKERS, oldLeader, LinkState.LOST);
             simulation.at(14_000, () -> assertFalse(oldLeader.equals(simulation.leader())));
             simulation.at(40_000, () -> simulation.network.setLink(Network.WORKERS, oldLeader, LinkState.CONNECTED));
@@ -68,7 +71,8 @@
     }
 
     /**
-     * Heartbeats alone must not keep such a machine in use: its tasks would be placed there again at each lease expiry.
+     * The leader receives the machine's heartbeats, but neither responses nor commands reach the machine. If heartbeats
+     * alone made it schedulable, its tasks would be placed there again at each lease expiry.
      */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
@@ -78,7 +82,7 @@
             simulation.network.setOneWay("node-0", worker.name, LinkState.LOST);
             simulation.network.setOneWay("node-1", worker.name, LinkState.LOST);
             simulation.network.setOneWay("node-2", worker.name, LinkState.LOST);
-            // Launches that the machine did not receive move to others after one lease.
+            // Tasks whose launch this machine did not receive are placed on other machines after one lease.
             simulation.at(45_000, () -> simulation.users.submit(mixedJob(simulation, 0)));
             simulation.at(
                     240_000,
@@ -99,7 +103,10 @@
         });
     }
 
-    /** A leader that has lost everything but its workers must not keep them from the new leader. */
+    /**
+     * A leader that reaches only its workers, but no other controller and not the key-value store, must not keep them
+     * from sending their heartbeats to the new leader.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workersMoveFromIsolatedLeaderToNewLeader(int seed) {
@@ -113,7 +120,7 @@
                 simulation.network.setLink(isolatedLeader, other, LinkState.LOST);
             }
         }
-        // The isolated leader may answer them for about 24 s.
+        // The isolated leader may answer heartbeats for about 24 s; the workers must move before that.
         simulation.run(19);
         assertFalse(isolatedLeader.equals(simulation.leader()));
         for (FakeWorker worker : simulation.workers().values()) {
@@ -124,6 +131,10 @@
         assertEquals(List.of(), simulation.invariants.violations());
     }
 
+    /**
+     * A machine receives nothing, its heartbeats are duplicated, and the leader loses the key-value store and its
+     * peers.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void unreachableDownlinkWithDuplicatedHeartbeatsAndIsolatedLeader(int seed) {
@@ -177,7 +188,7 @@
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
 
-    /** A controller that alone can't reach the key-value store forwards requests to one that can. */
+    /** A controller that can't reach the key-value store must forward users' requests to a controller that can. */
     @Test
     void controllerWithoutKeyValueStoreForwardsRequests() {
         Simulation simulation = new Simulation(2);
--- a/src/test/java/org/spoolline/simulation/QuotaAfterOutageTest.java
+++ b/src/test/java/org/spoolline/simulation/QuotaAfterOutageTest.java
@@ -11,16 +11,20 @@
 import org.spoolline.metrics.Event;
 
 /**
- * A team near its limit, a backlog of gangs, few writes a second, and an outage of the key-value store that is longer than
- * the workers' leases: the same leader goes on afterwards, with machines whose last answered heartbeat is older than a
- * lease. See docs/incidents/quota-after-outage.md.
+ * A team must stay within its limit after an outage of the key-value store that is longer than the workers' leases. The
+ * team is near its limit, a backlog of gangs is waiting, and the leader may write only a few times a second. The same
+ * controller leads after the outage, with machines whose last answered heartbeat is older than a lease. See
+ * docs/incidents/quota-after-outage.md.
  */
 class QuotaAfterOutageTest {
     private static final double OUTAGE_S = 50;
     private static final int WRITES_PER_S = 30;
     private static final int TEAM_SCALE = 4;
 
-    /** More gangs than the team's limit of 64 cores holds at once, and arrays of the other team. */
+    /**
+     * Submits more gangs of team red than its guarantee of 64 cores and its limit of 128 cores hold at a time, and job
+     * arrays of team blue.
+     */
     private static void submitBacklog(Simulation simulation) {
         for (int i = 0; i < 60; i++) {
             int tasks = 3 + i % 4;
@@ -31,7 +35,7 @@
         }
     }
 
-    /** A deployment under load, as an outage begins. */
+    /** Returns a simulation under load in which an outage of the key-value store has just begun. */
     private static Simulation runUntilOutage(int seed) {
         Simulation simulation = new Simulation(seed, TEAM_SCALE);
         simulation.controllers.limitWrites(WRITES_PER_S);
@@ -64,7 +68,10 @@
         assertLimitHoldsAfterOutage(runUntilOutage(seed), seed);
     }
 
-    /** The leader's view stays old for a moment: it hears the workers, but may not answer them yet. */
+    /**
+     * The leader's view of the jobs stays stale for 1 to 3 s after the outage, because its watch responses are lost: it
+     * receives heartbeats, but may not answer them yet.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.THREE_TIMES_AS_MANY)
     void limitHoldsWhileWatchResponsesAfterOutageAreLost(int seed) {
--- a/src/test/java/org/spoolline/simulation/ReleasedAttemptsTest.java
+++ b/src/test/java/org/spoolline/simulation/ReleasedAttemptsTest.java
@@ -14,14 +14,15 @@
 import org.spoolline.pipeline.SubmissionCodec;
 
 /**
- * Attempts that a leader has decided to have ended count as free from then on, while they are still stored. Neither that
- * leader nor the next one may launch them beside what took their place.
+ * Once a leader decides that an attempt has ended, it counts the capacity of this released attempt as free, although
+ * the attempt is still stored until a write removes it. Neither this leader nor the next one may launch a released
+ * attempt in addition to the attempts that were placed in its capacity.
  */
 class ReleasedAttemptsTest {
     private static final int WRITES_PER_S = 12;
     private static final int TEAM_SCALE = 4;
 
-    /** Arrays that save checkpoints, and critical gangs that preempt them. */
+    /** Submits job arrays that save checkpoints, and critical gangs that preempt them. */
     private static void submitCompetingJobs(Simulation simulation) {
         for (int i = 0; i < 50; i++) {
             int tasks = 2 + i % 3;
@@ -45,7 +46,10 @@
                 .with("stashS", 1.0);
     }
 
-    /** Tasks are preempted before their launch, and the write that records it waits for the write budget. */
+    /**
+     * Tasks are preempted before their launch, and the write that records the release of their attempts is deferred,
+     * because the rate limit of writes is reached.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void preemptedAttemptsWhoseReleaseIsDeferredAreNotLaunched(int seed) {
@@ -55,14 +59,14 @@
         simulation.run(3);
         submitCompetingJobs(simulation);
         simulation.run(130);
-        assertTrue(countOnAllControllers(simulation, Event.ATTEMPT_RELEASED) > 0, "expected attempts to end");
+        assertTrue(countOnAllControllers(simulation, Event.ATTEMPT_RELEASED) > 0, "expected attempts to be released");
         assertTrue(countOnAllControllers(simulation, Event.WRITE_DEFERRED) > 0, "expected writes to be deferred");
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         assertEquals(0, countOnAllControllers(simulation, Event.LAUNCH_OF_RELEASED_ATTEMPT), "seed " + seed);
         assertEquals(
                 0,
                 countOnAllControllers(simulation, Event.LAUNCH_WITHHELD_TEAM_LIMIT),
-                "a leader's placements fit the limit");
+                "expected no launch to be withheld, since the leader places tasks within the limit");
     }
 
     private static long countOnAllControllers(Simulation simulation, Event event) {
@@ -72,8 +76,8 @@
     }
 
     /**
-     * A leader has stored attempts in place of others and ended before it has stored the end of those: together they exceed
-     * the team's limit of 32 cores. All of them are on idle machines and not launched yet.
+     * A leader has stored attempts in the capacity of released attempts, and crashes before it has stored the release.
+     * Both jobs together exceed the team's limit of 32 cores. All attempts are on idle machines and not launched yet.
      */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
@@ -92,14 +96,17 @@
         simulation.run(20);
         assertTrue(
                 countOnAllControllers(simulation, Event.LAUNCH_WITHHELD_TEAM_LIMIT) > 0,
-                "expected the new leader to find the team over its limit");
+                "expected the new leader to withhold launches of a team over its limit");
         simulation.run(150);
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         assertEquals("done", releasedJob.status(), "seed " + seed);
         assertEquals("done", replacementJob.status(), "seed " + seed);
     }
 
-    /** Stores an accepted job of the red team with an attempt on each of the machines, and lets its user ask for it. */
+    /**
+     * Stores an accepted job of team red with an attempt on each of the machines, and submits it so that its user polls
+     * it.
+     */
     private static SimulatedJob storeWithAttempts(Simulation simulation, List<FakeWorker> machines) {
         SimulatedJob job = simulation.users.job("red", "batch", machines.size(), 7, 15);
         Pipeline pipeline = accept(job, simulation.now());
--- a/src/test/java/org/spoolline/simulation/RollingUpgradeTest.java
+++ b/src/test/java/org/spoolline/simulation/RollingUpgradeTest.java
@@ -11,9 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Controllers are upgraded one by one from a version without dependent jobs. */
+/** Controllers are upgraded one by one from a version that doesn't support jobs with dependencies. */
 class RollingUpgradeTest {
-    /** A value that older versions can't read is not written until every controller is known to read it. */
+    /**
+     * Controllers must not store a value that the older version can't read until every controller is known to run the
+     * newer version. Until then they do not accept jobs with dependencies.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void dependentJobsAreAcceptedOnceAllControllersAreUpgraded(int seed) {
@@ -42,7 +45,10 @@
         Workloads.assertEveryJobDone(simulation, seed);
     }
 
-    /** Both versions serve, faults occur, and leadership passes between the versions in both directions. */
+    /**
+     * Both versions run at the same time, faults occur, and leadership changes from the older to the newer version and
+     * back.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void jobsCompleteDespiteFaultsDuringRollingUpgrade(int seed) {
--- a/src/test/java/org/spoolline/simulation/SimulationTest.java
+++ b/src/test/java/org/spoolline/simulation/SimulationTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The simulation itself. */
+/** The simulation is deterministic. */
 class SimulationTest {
-    /** A failing seed can only be examined again if it replays exactly. */
+    /** The failure of a seed can only be reproduced if the same seed replays the same scenario. */
     @Test
     void sameSeedReplaysTheSameScenario() {
         List<String> outcomes = new ArrayList<>();
--- a/src/test/java/org/spoolline/simulation/StaleLeaderTest.java
+++ b/src/test/java/org/spoolline/simulation/StaleLeaderTest.java
@@ -11,12 +11,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The leader alone does not learn of cancellations that other controllers confirm; then the key-value store is down for
- * longer than cancel_s, while workers keep sending heartbeats to that leader. The tasks must still terminate within
- * cancel_s of the confirmation.
+ * The leader's view of the jobs is stale: it lacks cancellations that other controllers have confirmed to users. Then
+ * the key-value store is down for longer than cancel_s, while workers keep sending heartbeats to that leader. The
+ * leader must not renew their leases for so long that a task runs for more than cancel_s after the confirmation of its
+ * cancellation.
  */
 class StaleLeaderTest {
-    /** Long-running jobs and their leader. */
+    /** A simulation with six long-running jobs, and its leader before the first fault. */
     private static final class LongJobs {
         final Simulation simulation;
         final List<SimulatedJob> jobs = new ArrayList<>();
@@ -59,13 +60,11 @@
         }
 
         void assertSomeCancellationsConfirmed() {
-            assertTrue(
-                    confirmedCancellations() > 0,
-                    "expected a cancellation confirmed while the leader alone is rejected");
+            assertTrue(confirmedCancellations() > 0, "expected at least one confirmed cancellation");
         }
     }
 
-    /** Injects faults and runs on: every cancellation is confirmed and no invariant is violated. */
+    /** Injects faults into a run: every cancellation must be confirmed and no invariant may be violated. */
     private static void runScenario(int seed, double seconds, BiConsumer<LongJobs, Simulation> faults) {
         LongJobs longJobs = new LongJobs(seed);
         faults.accept(longJobs, longJobs.simulation);
@@ -81,7 +80,8 @@
     }
 
     /**
-     * A leader that learns of the cancellation from a peer ends the tasks without reading it from the key-value store.
+     * A leader to which a peer reports the cancellation must stop the tasks without reading the cancellation from the
+     * key-value store.
      */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
@@ -89,7 +89,10 @@
         runWithLeaderRejected(seed, LinkState.CONNECTED);
     }
 
-    /** The store rejects the leader and then all; cancellations arrive in between. */
+    /**
+     * The key-value store rejects the requests of the leader and, 2.6 s later, those of all controllers. Users cancel
+     * their jobs in between.
+     */
     private static void runWithLeaderRejected(int seed, LinkState peersToLeader) {
         boolean peersReachLeader = peersToLeader == LinkState.CONNECTED;
         runScenario(seed, 160, (longJobs, simulation) -> {
@@ -102,7 +105,9 @@
             simulation.at(200, longJobs::cancelAll);
             simulation.at(2_600, () -> {
                 longJobs.assertSomeCancellationsConfirmed();
-                assertTrue(peersReachLeader || longJobs.runningTaskCount() > 0, "expected tasks to run on");
+                assertTrue(
+                        peersReachLeader || longJobs.runningTaskCount() > 0,
+                        "expected running tasks when the outage begins");
                 simulation.store.outage(65);
             });
             simulation.at(
@@ -110,7 +115,7 @@
                     () -> assertEquals(
                             peersReachLeader,
                             longJobs.runningTasksOfCancelledJobs() == 0,
-                            "whether no task of a confirmed cancellation runs"));
+                            "whether all tasks of jobs with a confirmed cancellation have terminated"));
             simulation.at(
                     10_000,
                     () -> assertTrue(
@@ -121,14 +126,17 @@
         });
     }
 
-    /** Leadership renewals succeed while watch responses are lost: a stale view must not renew the workers' leases. */
+    /**
+     * The leader renews its leadership while its watch responses are lost. It must not renew the leases of workers when
+     * its view of the jobs is stale.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void renewalsSucceedWhileWatchesAreLostThenOutage(int seed) {
         runScenario(seed, 170, (longJobs, simulation) -> {
             simulation.store.loseWatchResponses(longJobs.leader, 90);
             simulation.at(2_000, longJobs::cancelAll);
-            // By then the confirmation is old; only the leadership renewals are recent.
+            // 18 s after the cancellations the view is stale, while the last leadership renewal is recent.
             simulation.at(20_000, () -> {
                 longJobs.assertSomeCancellationsConfirmed();
                 simulation.store.outage(65);
@@ -136,7 +144,10 @@
         });
     }
 
-    /** No outage may restart the bound of an earlier confirmation, nor may a renewal between two outages. */
+    /**
+     * The bound of cancel_s counts from the confirmation of a cancellation. Neither an outage nor a leadership renewal
+     * between two outages may restart it.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void repeatedOutagesWithRenewalsBetween(int seed) {
@@ -153,7 +164,10 @@
         });
     }
 
-    /** A new leader must not renew worker leases before it has read which jobs are cancelled. */
+    /**
+     * A new leader must not renew worker leases before it has read which jobs are cancelled. Listings get no response
+     * for 100 s, and the leader crashes every 9 s.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void successiveLeadersCannotListJobs(int seed) {
--- a/src/test/java/org/spoolline/simulation/StallTest.java
+++ b/src/test/java/org/spoolline/simulation/StallTest.java
@@ -13,14 +13,15 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** The status that operators read when no task starts, and the bound after which tasks start again. */
+/** The counters that tell operators why no task starts, and the bound on the time until tasks start after faults. */
 class StallTest {
     /**
-     * Seconds after the last fault until waiting jobs start: an election, a boot, an image pull and a rejected offer.
+     * Bound on the time from the last fault until waiting jobs start: an election, a machine boot, an image pull and a
+     * rejected scale-out request.
      */
     private static final double MAX_START_DELAY_S = 75;
 
-    /** When no task starts, the status says why. */
+    /** When no task starts because the cloud has no capacity, the counters give that reason. */
     @Test
     void stalledLeaderReportsTheReason() {
         Simulation simulation = new Simulation(3);
@@ -47,7 +48,7 @@
         assertEquals(1, status.path("counts").path("election_won").asLong());
     }
 
-    /** Tasks start in bounded time after the last fault, whatever came before. */
+    /** Tasks must start within a bounded time after the last fault, whichever faults were present since the start. */
     @ParameterizedTest
     @MethodSource(Seeds.THREE_TIMES_AS_MANY)
     void tasksStartInBoundedTimeAfterEarlyFaults(int seed) {
@@ -59,14 +60,17 @@
         }
         simulation.run(lastFaultEndsS);
         long startsBefore = simulation.invariants.starts();
-        // Users may have given up earlier submissions; this one is made without faults.
+        // Earlier submissions may have failed because of the faults; this one is sent after the last fault.
         simulation.users.submit(Workloads.mixedJob(simulation, 0));
         simulation.run(MAX_START_DELAY_S);
         assertTrue(simulation.invariants.starts() > startsBefore, "seed " + seed + ": expected a task to start");
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
     }
 
-    /** Outages, crashes and partitions from the first moment; returns the second at which the last one ends. */
+    /**
+     * Injects outages, crashes or partitions, depending on the seed, from the start of the simulation. Returns the
+     * simulated time in seconds at which the last one ends.
+     */
     private static double injectEarlyFaults(Simulation simulation, int seed) {
         List<String> nodes = Workloads.NODES;
         switch (seed % 6) {
--- a/src/test/java/org/spoolline/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/spoolline/simulation/StoreLimitsTest.java
@@ -12,7 +12,9 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.upgrade.ProductionForms;
 
-/** The key-value store lowers its limits on values and transactions, announced in the settings beforehand. */
+/**
+ * The key-value store lowers its limits on the size of values and transactions, which the settings announce beforehand.
+ */
 class StoreLimitsTest {
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
@@ -36,14 +38,15 @@
         assertEquals("done", wide.status(), "seed " + seed);
         assertEquals("aborted", chains.get(0).lastStage.status(), "seed " + seed);
         assertEquals("done", chains.get(2).lastStage.status(), "seed " + seed);
-        // Each controller may discover the limit once, with one further batch in flight.
+        // Each controller may exceed the limit once before it discovers it, with one further batch in flight.
         assertTrue(
                 simulation.store.oversizedCommits() <= 12,
-                "seed " + seed + ": " + simulation.store.oversizedCommits() + " refused");
+                "seed " + seed + ": " + simulation.store.oversizedCommits() + " oversized commits");
     }
 
-    /** Starts with a stored production value that is twice as large as the limits after the upgrade. */
+    /** Stores a production value that is twice as large as the lowered limit on values, and submits its job. */
     private static SimulatedJob submitOversizedJob(Simulation simulation) {
+        // Advances the job ids to that of the stored value, run-000007.
         for (int i = 0; i < 6; i++) {
             simulation.users.job("blue", "batch", 1, 1, 5);
         }
@@ -75,10 +78,13 @@
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
         assertTrue(
                 simulation.store.oversizedCommits() <= 4,
-                "seed " + seed + ": " + simulation.store.oversizedCommits() + " refused");
+                "seed " + seed + ": " + simulation.store.oversizedCommits() + " oversized commits");
     }
 
-    /** Placements that filled the present limit could not be written any more once it is lowered. */
+    /**
+     * If placements made a value as large as the limit in force, the value could not be written any more after the
+     * limit is lowered.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void placementsStayUnderAnnouncedLimits(int seed) {
@@ -108,7 +114,7 @@
         assertEquals(
                 1_285,
                 simulation.store.value("job/" + wide.jobId()).path("unlisted").asInt());
-        // Until its attempts have terminated they count against the team's quota of 1,024 cores.
+        // The attempts of the cancelled job count against the team's quota of 1,024 cores until they have terminated.
         SimulatedJob laterJob = simulation.users.submit(simulation.users.job("blue", "batch", 1_600, 0.5, 200));
         simulation.run(20);
         int placed = Pipeline.decode(simulation.store.value("job/" + laterJob.jobId()))
--- a/src/test/java/org/spoolline/simulation/UserRequestsTest.java
+++ b/src/test/java/org/spoolline/simulation/UserRequestsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.net.Json;
 
-/** Submissions, polls and cancellations as users send them, valid or not. */
+/** Valid and invalid submissions, polls and cancellations of users. */
 class UserRequestsTest {
     @ParameterizedTest
     @MethodSource(Seeds.THREE_TIMES_AS_MANY)
--- a/src/test/java/org/spoolline/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/WorkerFaultsTest.java
@@ -31,7 +31,10 @@
         });
     }
 
-    /** Late duplicates prove no termination and renew no lease, also when a new leader receives them first. */
+    /**
+     * A leader must not take a late duplicate of a heartbeat as proof that a task has terminated, nor renew a lease for
+     * it, even if a new leader receives the duplicate before any other heartbeat.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void duplicatedHeartbeatsArriveLate(int seed) {
@@ -56,7 +59,10 @@
         });
     }
 
-    /** A worker that restarts at once has lost its earlier tasks, fencing token and message counter. */
+    /**
+     * A worker that restarts within 0.3 s no longer has its earlier tasks, fencing token and message counter, while
+     * duplicates of its earlier heartbeats still arrive.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void workersRestartWithin300Ms(int seed) {
@@ -77,6 +83,7 @@
         runScenario(seed, 300, simulation -> busyWorker(simulation).failsEveryTask = true);
     }
 
+    /** A job whose tasks fail on every machine must not drain the machines that other jobs need. */
     @Test
     void jobThatFailsEverywhereDoesNotBlockOthers() {
         Simulation simulation = new Simulation(7);
--- a/src/test/java/org/spoolline/simulation/WorkloadTest.java
+++ b/src/test/java/org/spoolline/simulation/WorkloadTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Mixed, bursty and lopsided workloads without faults or with few: every job completes and none is starved. */
+/** Mixed, bursty and uneven workloads with few faults or none: every job must complete, and none may starve. */
 class WorkloadTest {
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
@@ -39,7 +39,10 @@
         });
     }
 
-    /** Wide and narrow, urgent and standard: no class's largest job waits for a stream of small ones. */
+    /**
+     * A stream of small urgent and standard jobs must not starve the largest job of any job class: a wide array, an
+     * urgent gang in one zone, and a gang as large as its team's limit.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void streamOfSmallJobsDoesNotStarveLargestJobs(int seed) {
@@ -83,8 +86,9 @@
     }
 
     /**
-     * Members that hold the image time out waiting for those that still pull it. If they lose their places, they pull
-     * again elsewhere while the rest time out in turn, and the gang never starts.
+     * Gang members that already have the image time out while other members still pull it. If members lost their
+     * machines, they would pull the image again on other machines while the rest time out in turn, and the gang would
+     * never start.
      */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
@@ -114,7 +118,10 @@
         }
     }
 
-    /** Capacity reserved for a large gang, in machines and in the team's quota, must not leak to later small jobs. */
+    /**
+     * Small jobs that are submitted later must not use the machines and the share of the team's quota that are reserved
+     * for a large gang.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void endlessStreamDoesNotStarveLargeGangs(int seed) {
--- a/src/test/java/org/spoolline/simulation/Workloads.java
+++ b/src/test/java/org/spoolline/simulation/Workloads.java
@@ -21,7 +21,10 @@
         void inject(Simulation simulation);
     }
 
-    /** Runs a mixed load with a fault at 40 s and time to recover: every job ends and no invariant is violated. */
+    /**
+     * Runs the mixed load, injects the fault at 40 s and leaves time to recover. Every job must reach a terminal state
+     * and no invariant may be violated.
+     */
     static void runScenario(int seed, double seconds, Fault fault) {
         Simulation simulation = new Simulation(seed);
         List<SimulatedJob> jobs = new ArrayList<>();
@@ -43,7 +46,7 @@
         assertTrue(simulation.invariants.starts() > 0, "seed " + seed + ": expected tasks to start");
     }
 
-    /** The end of a scenario in which nobody cancels: no invariant is violated and every job is done. */
+    /** Asserts at the end of a scenario without cancellations that every job is done and no invariant is violated. */
     static void assertEveryJobDone(Simulation simulation, int seed) {
         simulation.invariants.checkAtEnd();
         assertEquals(List.of(), simulation.invariants.violations(), "seed " + seed);
@@ -52,7 +55,7 @@
         }
     }
 
-    /** The n-th job of the mixed load, which is not submitted yet. */
+    /** Creates the n-th job of the mixed load without submitting it. */
     static SimulatedJob mixedJob(Simulation simulation, int n) {
         return switch (n % 4) {
             case 0 -> simulation.users.job("blue", "batch", 12, 1, 15);
@@ -66,12 +69,12 @@
         };
     }
 
-    /** The leader's name, or the first controller's while there is none. */
+    /** Returns the name of the leader, or of the first controller while there is no leader. */
     static String leader(Simulation simulation) {
         return simulation.leader() == null ? "node-0" : simulation.leader();
     }
 
-    /** The first worker with tasks, or the first of all if none has any. */
+    /** Returns the first live worker with tasks, or the first of all workers if there is none. */
     static FakeWorker busyWorker(Simulation simulation) {
         return simulation.workers().values().stream()
                 .filter(w -> !w.isDown() && !w.tasks().isEmpty())
