--- a/src/main/java/org/spoolline/reconcile/LostAttemptsLog.java
+++ b/src/main/java/org/spoolline/reconcile/LostAttemptsLog.java
@@ -8,15 +8,19 @@
 import org.spoolline.pipeline.Attempt;
 
 /**
- * Logs the attempts of one job that are proven to have terminated with their machines or incarnations: at info one line
- * for each proof, since after a crash of all controllers hundreds are lost when time is short; at debug one for each attempt.
+ * Logs the attempts of one job that are proven to have terminated with their machines or incarnations. At info it
+ * writes one line per kind of proof, because after a crash of all controllers hundreds of attempts can be lost while
+ * the new leader has little time. At debug it writes one line per attempt.
  */
 final class LostAttemptsLog {
     private static final Logger LOG = LoggerFactory.getLogger(LostAttemptsLog.class);
-    private static final long UNKNOWN_AGE = -1;
+    private static final long UNKNOWN = -1;
 
-    /** The attempts of one proof, with the least age of what it rests on; -1 for what never was. */
-    private static final class Lost {
+    /**
+     * The number of attempts lost by one kind of proof, with the lowest age in ms of the last heartbeat and of the
+     * last response; -1 if there was none.
+     */
+    private static final class Summary {
         int attempts;
         long heartbeatAgeMs = Long.MAX_VALUE;
         long responseAgeMs = Long.MAX_VALUE;
@@ -24,25 +28,27 @@
 
     private final String jobId;
     private final long now;
-    /** Empty for most jobs in most cycles, and then without a table of its own. */
-    private Map<TerminationProof.Proof, Lost> byProof = Map.of();
+    /**
+     * The summaries by kind of proof. Most jobs lose no attempt in a cycle, so the map is allocated only when needed.
+     */
+    private Map<TerminationProof.Proof, Summary> byProof = Map.of();
 
     LostAttemptsLog(String jobId, long now) {
         this.jobId = jobId;
         this.now = now;
     }
 
-    /** Adds an attempt on a machine, which is null when this leader has not heard of it. */
+    /** Adds a lost attempt; {@code machine} is null when this leader does not know the attempt's machine. */
     void add(Attempt attempt, TerminationProof.Proof proof, Machine machine) {
-        long heartbeatAgeMs = machine == null ? UNKNOWN_AGE : age(machine.lastHeartbeatAt());
-        long responseAgeMs = machine == null ? UNKNOWN_AGE : age(machine.lastResponseAt());
+        long heartbeatAgeMs = machine == null ? UNKNOWN : ageMs(machine.lastHeartbeatAt());
+        long responseAgeMs = machine == null ? UNKNOWN : ageMs(machine.lastResponseAt());
         if (byProof.isEmpty()) {
             byProof = new EnumMap<>(TerminationProof.Proof.class);
         }
-        Lost lost = byProof.computeIfAbsent(proof, unseen -> new Lost());
-        lost.attempts++;
-        lost.heartbeatAgeMs = Math.min(lost.heartbeatAgeMs, heartbeatAgeMs);
-        lost.responseAgeMs = Math.min(lost.responseAgeMs, responseAgeMs);
+        Summary summary = byProof.computeIfAbsent(proof, key -> new Summary());
+        summary.attempts++;
+        summary.heartbeatAgeMs = Math.min(summary.heartbeatAgeMs, heartbeatAgeMs);
+        summary.responseAgeMs = Math.min(summary.responseAgeMs, responseAgeMs);
         LOG.debug(
                 "Lost attempt with its machine: job={} task={} attempt={} machine={} incarnation={}"
                         + " machine_incarnation={} proof={} heartbeat_age_ms={} response_age_ms={}",
@@ -51,24 +57,24 @@
                 attempt.number(),
                 attempt.machine(),
                 attempt.incarnation(),
-                machine == null ? UNKNOWN_AGE : machine.incarnation(),
+                machine == null ? UNKNOWN : machine.incarnation(),
                 proof.label(),
                 heartbeatAgeMs,
                 responseAgeMs);
     }
 
-    /** Writes the lines at info. */
-    void write() {
-        byProof.forEach((proof, lost) -> LOG.info(
+    /** Writes one line at info for each kind of proof. */
+    void logSummaries() {
+        byProof.forEach((proof, summary) -> LOG.info(
                 "Lost attempts with their machines: job={} attempts={} proof={} heartbeat_age_ms={} response_age_ms={}",
                 jobId,
-                lost.attempts,
+                summary.attempts,
                 proof.label(),
-                lost.heartbeatAgeMs,
-                lost.responseAgeMs));
+                summary.heartbeatAgeMs,
+                summary.responseAgeMs));
     }
 
-    private long age(long at) {
-        return at < 0 ? UNKNOWN_AGE : now - at;
+    private long ageMs(long recordedAt) {
+        return recordedAt < 0 ? UNKNOWN : now - recordedAt;
     }
 }
