--- a/src/test/java/org/spoolline/simulation/ConcurrentLeaderFailuresTest.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentLeaderFailuresTest.java
@@ -19,19 +19,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Leader changes that coincide with a second fault. See docs/concurrent-failures.md. */
+/** The leader changes while a second fault is present. docs/concurrent-failures.md lists the combinations. */
 class ConcurrentLeaderFailuresTest {
+    /** The leader crashes every 10 s, the key-value store is down for 15 s, and users cancel jobs meanwhile. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void tenLeaderChangesInTwoMinutesWithAnOutage(int seed) {
         runScenario(seed, 520, simulation -> {
-            long before = simulation.store.value("token").path("n").asLong();
+            long tokenBefore = simulation.store.value("token").path("n").asLong();
             for (int i = 0; i < 6; i++) {
                 submitLongJob(simulation, i % 2 == 0 ? "blue" : "red", 3, 2);
             }
             for (int i = 0; i < 12; i++) {
-                // Restart times spread over the leader key's lease, so that either the same or another controller takes
-                // over.
+                // The downtime of 0.1 to 8 s is shorter or longer than the lease of the leader key, so that either the
+                // same controller or another one is elected.
                 simulation.at(
                         i * 10_000L,
                         () -> simulation.controllers.crashFor(
@@ -42,11 +43,15 @@
             simulation.at(
                     125_000,
                     () -> assertTrue(
-                            simulation.store.value("token").path("n").asLong() >= before + 9,
+                            simulation.store.value("token").path("n").asLong() >= tokenBefore + 9,
                             "expected at least 9 leader changes"));
         });
     }
 
+    /**
+     * The key-value store is slow, rejects first the requests of the leader and then all requests, and users cancel
+     * jobs meanwhile.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void slowStoreRejectsLeaderThenAllDuringCancellations(int seed) {
@@ -54,8 +59,8 @@
             submitLongJob(simulation, "blue", 6, 2);
             submitLongJob(simulation, "red", 4, 2);
             simulation.network.slowDown(Network.KEY_VALUE_STORE);
-            String first = leader(simulation);
-            simulation.at(8_000, () -> simulation.store.rejectHost(first, 14));
+            String leader = leader(simulation);
+            simulation.at(8_000, () -> simulation.store.rejectHost(leader, 14));
             simulation.at(8_500, () -> assertTrue(cancelEveryNth(simulation, 2) > 0));
             simulation.at(10_000, () -> simulation.store.outage(55));
             simulation.at(30_000, () -> cancelEveryNth(simulation, 2));
@@ -63,7 +68,11 @@
         });
     }
 
-    /** Attempts on unreachable machines count against the quota until their termination is proven, whoever leads. */
+    /**
+     * A new leader must count attempts on unreachable machines against the team's quota until their termination is
+     * proven. The leader crashes while the team is at its quota, the links of two machines are delayed, and two jobs
+     * are cancelled.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void quotaHoldsAcrossLeaderChangeWithUnreachableWorkers(int seed) {
@@ -74,12 +83,12 @@
             jobs.add(submitLongJob(simulation, "red", 8, 2));
         }
         simulation.run(40);
-        double red = liveWorkers(simulation).stream()
+        double redTeamCores = liveWorkers(simulation).stream()
                         .flatMap(w -> w.tasks().stream())
                         .filter(SimulatedTask::isAlive)
                         .count()
                 * 2.0;
-        assertEquals(32, red, "seed " + seed + ": expected the team at its quota of 32 cores");
+        assertEquals(32, redTeamCores, "seed " + seed + ": expected the team at its quota of 32 cores");
         simulation.controllers.crashFor(leader(simulation), 7);
         for (FakeWorker worker : liveWorkers(simulation).subList(0, 2)) {
             setLinksToControllers(simulation, worker.name, LinkState.DELAYED);
@@ -97,6 +106,10 @@
         }
     }
 
+    /**
+     * The leader loses its links to the other controllers and the key-value store, but still answers workers. Jobs that
+     * users then cancel through the new leader must still terminate in time.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void isolatedLeaderKeepsWorkersWhileNewLeaderCancels(int seed) {
@@ -107,16 +120,16 @@
             jobs.add(submitLongJob(simulation, i % 2 == 0 ? "blue" : "red", 4, 2));
         }
         simulation.run(40);
-        String old = leader(simulation);
-        setLinksToControllers(simulation, old, LinkState.LOST);
-        simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.LOST);
+        String isolatedLeader = leader(simulation);
+        setLinksToControllers(simulation, isolatedLeader, LinkState.LOST);
+        simulation.network.setLink(isolatedLeader, Network.KEY_VALUE_STORE, LinkState.LOST);
         simulation.at(7_000, () -> {
-            assertFalse(old.equals(simulation.leader()), "expected a new leader");
+            assertFalse(isolatedLeader.equals(simulation.leader()), "expected a new leader");
             jobs.subList(0, 3).forEach(simulation.users::cancel);
         });
         simulation.at(70_000, () -> {
-            setLinksToControllers(simulation, old, LinkState.CONNECTED);
-            simulation.network.setLink(old, Network.KEY_VALUE_STORE, LinkState.CONNECTED);
+            setLinksToControllers(simulation, isolatedLeader, LinkState.CONNECTED);
+            simulation.network.setLink(isolatedLeader, Network.KEY_VALUE_STORE, LinkState.CONNECTED);
             simulation.invariants.faultsEnded();
         });
         simulation.run(330);
@@ -126,6 +139,10 @@
         }
     }
 
+    /**
+     * A third of the workers has delayed links to the controllers, and another third receives nothing from them, when
+     * the leader crashes.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void leaderCrashesWhileWorkersAreUnreachable(int seed) {
@@ -133,7 +150,7 @@
             submitLongJob(simulation, "blue", 8, 2);
             submitLongJob(simulation, "red", 6, 2);
             simulation.at(14_000, () -> {
-                String first = leader(simulation);
+                String leader = leader(simulation);
                 List<FakeWorker> workers = liveWorkers(simulation);
                 for (int i = 0; i < workers.size(); i++) {
                     String worker = workers.get(i).name;
@@ -147,13 +164,16 @@
                                 () -> NODES.forEach(n -> simulation.network.setOneWay(n, worker, LinkState.CONNECTED)));
                     }
                 }
-                simulation.controllers.crashFor(first, 6);
+                simulation.controllers.crashFor(leader, 6);
                 simulation.at(4_000, () -> cancelEveryNth(simulation, 3));
             });
         });
     }
 
-    /** A completion acknowledged by one leader is counted exactly once by the next. */
+    /**
+     * A new leader must count a completion that the previous leader has acknowledged exactly once. Leaders crash while
+     * jobs are partly complete, and the responses to two commits are lost.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.TWICE_AS_MANY)
     void completionsAreCountedOnceAcrossLeaderChanges(int seed) {
@@ -184,6 +204,7 @@
         return jobs.stream().anyMatch(j -> simulation.invariants.completedCount(j.jobId()) % j.tasks() != 0);
     }
 
+    /** All controllers crash right after cancellations and stay down for longer than the worker lease. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void allControllersDownBeyondWorkerLeaseAfterCancellations(int seed) {
@@ -195,10 +216,13 @@
         });
     }
 
-    /** Commits of elections, submissions, cancellations, cycles and completions are applied late, after newer ones. */
+    /**
+     * A quarter of the commits of elections, submissions, cancellations, scheduling cycles and completions get no
+     * response and reach the key-value store late, after newer commits.
+     */
     @Test
     void commitsAreAppliedAfterNewerOnes() {
-        int[] late = new int[2];
+        int[] delayedAndApplied = new int[2];
         for (int seed : Seeds.each()) {
             runScenario(seed, 460, simulation -> {
                 simulation.store.delayCommits(0.25, 80);
@@ -210,16 +234,18 @@
                 simulation.at(20_000, () -> simulation.controllers.crashFor(leader(simulation), 0.3));
                 simulation.at(45_000, () -> simulation.controllers.crashFor(leader(simulation), 6));
                 simulation.at(120_000, () -> {
-                    late[0] += simulation.store.delayedCommits();
-                    late[1] += simulation.store.delayedCommitsApplied();
+                    delayedAndApplied[0] += simulation.store.delayedCommits();
+                    delayedAndApplied[1] += simulation.store.delayedCommitsApplied();
                 });
             });
         }
         assertTrue(
-                late[0] > 20 && late[1] > 0,
-                "expected delayed commits and applied ones: delayed " + late[0] + ", applied " + late[1]);
+                delayedAndApplied[0] > 20 && delayedAndApplied[1] > 0,
+                "expected more than 20 delayed commits, and at least one of them applied: delayed "
+                        + delayedAndApplied[0] + ", applied " + delayedAndApplied[1]);
     }
 
+    /** The current leader stalls four times; then all controllers crash and restart at different times. */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void controllersStallInTurnThenAllCrash(int seed) {
@@ -228,8 +254,8 @@
             submitLongJob(simulation, "red", 4, 2);
             for (int i = 0; i < 4; i++) {
                 simulation.at(i * 9_000L, () -> {
-                    String first = leader(simulation);
-                    simulation.controllers.stall(first, 7);
+                    String leader = leader(simulation);
+                    simulation.controllers.stall(leader, 7);
                     simulation.at(6_000, () -> cancelEveryNth(simulation, 6));
                 });
             }
--- a/src/test/java/org/spoolline/simulation/DependencyChain.java
+++ b/src/test/java/org/spoolline/simulation/DependencyChain.java
@@ -7,37 +7,40 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Four stages of dependent jobs, the second of two jobs: each job is submitted once its dependencies are accepted. */
+/**
+ * Five jobs in four stages, each of which depends on the previous stage. The second stage has two jobs. Each job is
+ * submitted once its dependencies are accepted.
+ */
 final class DependencyChain {
     final Simulation simulation;
-    final SimulatedJob check;
-    final List<SimulatedJob> resize = new ArrayList<>();
-    final SimulatedJob merge;
-    final SimulatedJob deliver;
+    final SimulatedJob firstStage;
+    final List<SimulatedJob> secondStage = new ArrayList<>();
+    final SimulatedJob thirdStage;
+    final SimulatedJob lastStage;
     final List<SimulatedJob> jobs = new ArrayList<>();
 
     DependencyChain(Simulation simulation) {
         this.simulation = simulation;
-        check = simulation.users.job("blue", "batch", 3, 1, 8);
-        resize.add(simulation.users.job("blue", "batch", 6, 2, 10).dependingOn(check));
-        resize.add(simulation.users.job("red", "batch", 2, 2, 12).dependingOn(check));
-        merge = simulation
+        firstStage = simulation.users.job("blue", "batch", 3, 1, 8);
+        secondStage.add(simulation.users.job("blue", "batch", 6, 2, 10).dependingOn(firstStage));
+        secondStage.add(simulation.users.job("red", "batch", 2, 2, 12).dependingOn(firstStage));
+        thirdStage = simulation
                 .users
                 .job("blue", "group", 2, 2, 8)
                 .with("samePlace", true)
-                .dependingOn(resize.get(0), resize.get(1));
-        deliver = simulation
+                .dependingOn(secondStage.get(0), secondStage.get(1));
+        lastStage = simulation
                 .users
                 .job("blue", "batch", 2, 1, 4)
                 .with("urgency", "urgent")
-                .dependingOn(merge);
-        jobs.add(check);
-        jobs.addAll(resize);
-        jobs.add(merge);
-        jobs.add(deliver);
+                .dependingOn(thirdStage);
+        jobs.add(firstStage);
+        jobs.addAll(secondStage);
+        jobs.add(thirdStage);
+        jobs.add(lastStage);
     }
 
-    /** Submits all jobs in order, each as soon as the one before it is accepted. */
+    /** Submits all jobs in order, each as soon as the previous one is accepted. */
     DependencyChain submit() {
         submitFrom(0);
         return this;
@@ -51,17 +54,17 @@
         whenAccepted(jobs.get(index), () -> submitFrom(index + 1));
     }
 
-    private void whenAccepted(SimulatedJob job, Runnable then) {
+    private void whenAccepted(SimulatedJob job, Runnable action) {
         if (job.accepted()) {
-            then.run();
+            action.run();
         } else {
-            simulation.at(50, () -> whenAccepted(job, then));
+            simulation.at(50, () -> whenAccepted(job, action));
         }
     }
 
     /**
-     * Three chains, a fault while the second is under way, and time to recover: every job ends and no invariant is
-     * violated.
+     * Submits three chains, injects a fault at 40 s while the second chain is running, and leaves time to recover.
+     * Every job must reach a terminal state and no invariant may be violated.
      */
     static void runThreeChains(int seed, double seconds, Consumer<List<DependencyChain>> fault) {
         Simulation simulation = new Simulation(seed);
@@ -84,8 +87,8 @@
         }
     }
 
-    /** A minute from now every accepted job of the chain is done or cancelled. */
-    static void expectAllCancelled(DependencyChain chain) {
+    /** Asserts in 60 s of simulated time that every accepted job of the chain is done or cancelled. */
+    static void expectAllCancelledOrDone(DependencyChain chain) {
         for (SimulatedJob job : chain.jobs) {
             chain.simulation.at(60_000, () -> {
                 if (job.accepted() && !job.status().equals("done")) {
--- a/src/test/java/org/spoolline/simulation/FleetTest.java
+++ b/src/test/java/org/spoolline/simulation/FleetTest.java
@@ -11,7 +11,8 @@
 /** Deployments of hundreds to thousands of machines, where bounds on sockets, requests and time matter. */
 class FleetTest {
     /**
-     * Runs job arrays and gangs of two teams on over a thousand machines; the fault follows 70 s after the first jobs.
+     * Runs job arrays and gangs of two teams on over a thousand machines, and injects the fault 70 s after the first
+     * jobs.
      */
     private static void runFleet(int seed, Workloads.Fault fault) {
         Simulation simulation = new Simulation(seed, 200, 500);
@@ -40,7 +41,10 @@
         assertEveryJobDone(simulation, seed);
     }
 
-    /** No internal bound may lie below the users' fleet size: all machines get work, also after a leader crash. */
+    /**
+     * Internal bounds must not be lower than the fleet size that users need: more than 4,000 machines run tasks, and
+     * all jobs complete after a leader crash.
+     */
     @Test
     void fourThousandMachinesRunAcrossLeaderChange() {
         Simulation simulation = new Simulation(1, 1_200, 2_000);
@@ -66,7 +70,7 @@
         assertEveryJobDone(simulation, 1);
     }
 
-    private static List<FakeWorker> firstMachines(Simulation simulation, int count) {
+    private static List<FakeWorker> firstLiveWorkers(Simulation simulation, int count) {
         return simulation.workers().values().stream()
                 .filter(w -> !w.isDown())
                 .limit(count)
@@ -77,8 +81,9 @@
     void fleetSurvivesRestartsOfAllControllersDuringElection() {
         runFleet(1, simulation -> {
             assertTrue(
-                    firstMachines(simulation, 2_000).size() > 1_000,
-                    "machines: " + firstMachines(simulation, 2_000).size());
+                    firstLiveWorkers(simulation, 2_000).size() > 1_000,
+                    "expected more than 1000 machines, got "
+                            + firstLiveWorkers(simulation, 2_000).size());
             for (int i = 0; i < 3; i++) {
                 String node = "node-" + i;
                 simulation.controllers.crashFor(node, 0.3);
@@ -91,8 +96,8 @@
     }
 
     /**
-     * Each early-heartbeat request holds a socket until its timeout: hundreds at once would leave none for the
-     * key-value store.
+     * Each early-heartbeat request to a hanging worker holds a socket until its timeout. Hundreds of them at a time
+     * would leave no sockets for the key-value store.
      */
     @Test
     void earlyHeartbeatRequestsAreBounded() {
@@ -102,14 +107,14 @@
         SimulatedJob job = simulation.users.submit(simulation.users.job("blue", "batch", 250, 8, 300));
         simulation.run(50);
         simulation.workers().values().forEach(w -> w.hang(9));
-        int before = simulation.network.peakRequestsToWorkers();
+        int peakBeforeCancellation = simulation.network.peakRequestsToWorkers();
         simulation.users.cancel(job);
         simulation.run(60);
-        int most = simulation.settings("node-0").maxEarlyHeartbeatRequests();
+        int maxRequests = simulation.settings("node-0").maxEarlyHeartbeatRequests();
         assertEquals(
-                most,
+                maxRequests,
                 simulation.network.peakRequestsToWorkers(),
-                "peak of early-heartbeat requests, before the cancellation: " + before);
+                "peak of early-heartbeat requests, before the cancellation: " + peakBeforeCancellation);
         assertEquals("aborted", job.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
@@ -117,7 +122,7 @@
     @Test
     void fleetSurvivesPartitionLeaderCrashAndStall() {
         runFleet(2, simulation -> {
-            for (FakeWorker worker : firstMachines(simulation, 200)) {
+            for (FakeWorker worker : firstLiveWorkers(simulation, 200)) {
                 for (int i = 0; i < 3; i++) {
                     String node = "node-" + i;
                     simulation.network.setLink(worker.name, node, LinkState.DELAYED);
@@ -127,7 +132,7 @@
             simulation.at(4_000, () -> simulation.controllers.crashFor(leader(simulation), 6));
             simulation.at(
                     20_000,
-                    () -> firstMachines(simulation, 400).subList(300, 400).forEach(FakeWorker::losePower));
+                    () -> firstLiveWorkers(simulation, 400).subList(300, 400).forEach(FakeWorker::losePower));
             simulation.at(70_000, () -> simulation.controllers.stall(leader(simulation), 26));
         });
     }
--- a/src/test/java/org/spoolline/simulation/RollingUpgradeTest.java
+++ b/src/test/java/org/spoolline/simulation/RollingUpgradeTest.java
@@ -11,9 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Controllers are upgraded one by one from a version without dependent jobs. */
+/** Controllers are upgraded one by one from a version that doesn't support jobs with dependencies. */
 class RollingUpgradeTest {
-    /** A value that older versions can't read is not written until every controller is known to read it. */
+    /**
+     * Controllers must not store a value that the older version can't read until every controller is known to run the
+     * newer version. Until then they do not accept jobs with dependencies.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void dependentJobsAreAcceptedOnceAllControllersAreUpgraded(int seed) {
@@ -33,16 +36,19 @@
         simulation.run(22);
         SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 10));
         simulation.run(1);
-        SimulatedJob early = simulation.users.submit(
+        SimulatedJob dependent = simulation.users.submit(
                 simulation.users.job("blue", "batch", 1, 1, 5).dependingOn(root));
         simulation.run(5);
-        assertFalse(early.accepted(), "seed " + seed);
+        assertFalse(dependent.accepted(), "seed " + seed);
         simulation.run(120);
-        assertEquals("done", early.status(), "seed " + seed);
+        assertEquals("done", dependent.status(), "seed " + seed);
         Workloads.assertEveryJobDone(simulation, seed);
     }
 
-    /** Both versions serve, faults occur, and leadership passes between the versions in both directions. */
+    /**
+     * Both versions run at the same time, faults occur, and leadership changes from the older to the newer version and
+     * back.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void jobsCompleteDespiteFaultsDuringRollingUpgrade(int seed) {
@@ -79,7 +85,7 @@
             simulation.run(12);
         }
         simulation.controllers.crashFor(leader(simulation), 3);
-        simulation.users.cancel(chains.get(0).check);
+        simulation.users.cancel(chains.get(0).firstStage);
         simulation.at(20_000, simulation.invariants::faultsEnded);
         simulation.run(250);
         simulation.invariants.checkAtEnd();
@@ -87,6 +93,6 @@
         for (SimulatedJob job : simulation.users.jobs()) {
             assertTrue(List.of("done", "aborted").contains(job.status()), "seed " + seed + ": " + job.jobId());
         }
-        assertEquals("done", chains.get(1).deliver.status(), "seed " + seed);
+        assertEquals("done", chains.get(1).lastStage.status(), "seed " + seed);
     }
 }
--- a/src/test/java/org/spoolline/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/WorkerFaultsTest.java
@@ -31,7 +31,10 @@
         });
     }
 
-    /** Late duplicates prove no termination and renew no lease, also when a new leader receives them first. */
+    /**
+     * A leader must not take a late duplicate of a heartbeat as proof that a task has terminated, nor renew a lease for
+     * it, even if a new leader receives the duplicate before any other heartbeat.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
     void duplicatedHeartbeatsArriveLate(int seed) {
@@ -56,10 +59,13 @@
         });
     }
 
-    /** A worker that restarts at once has lost its earlier tasks, fencing token and message counter. */
+    /**
+     * A worker that restarts within 0.3 s no longer has its earlier tasks, fencing token and message counter, while
+     * duplicates of its earlier heartbeats still arrive.
+     */
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
-    void workersRestartWithinAFractionOfASecond(int seed) {
+    void workersRestartWithin300Ms(int seed) {
         runScenario(seed, 400, simulation -> {
             simulation.network.duplicateHeartbeats(30_000);
             for (int i = 0; i < 6; i++) {
@@ -77,19 +83,20 @@
         runScenario(seed, 300, simulation -> busyWorker(simulation).failsEveryTask = true);
     }
 
+    /** A job whose tasks fail on every machine must not drain the machines that other jobs need. */
     @Test
-    void jobThatFailsEverywhereTakesNoMachineDown() {
+    void jobThatFailsEverywhereDoesNotBlockOthers() {
         Simulation simulation = new Simulation(7);
         simulation.run(3);
-        SimulatedJob bad = simulation.users.submit(
+        SimulatedJob failingJob = simulation.users.submit(
                 simulation.users.job("red", "batch", 3, 1, 5).failingEverywhere());
-        SimulatedJob good = simulation.users.submit(simulation.users.job("blue", "batch", 8, 1, 10));
+        SimulatedJob otherJob = simulation.users.submit(simulation.users.job("blue", "batch", 8, 1, 10));
         simulation.run(120);
-        assertEquals("done", good.status());
-        assertFalse(List.of("done", "aborted").contains(bad.status()));
-        simulation.users.cancel(bad);
+        assertEquals("done", otherJob.status());
+        assertFalse(List.of("done", "aborted").contains(failingJob.status()));
+        simulation.users.cancel(failingJob);
         simulation.run(60);
-        assertEquals("aborted", bad.status());
+        assertEquals("aborted", failingJob.status());
         assertEquals(List.of(), simulation.invariants.violations());
     }
 }
