--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -57,7 +57,7 @@
     public Controller(Settings settings, EventLoop loop, Http.Caller http, RandomGenerator random) {
         this.loop = loop;
         counters = new Counters(loop);
-        StallMonitor stalls = new StallMonitor(loop);
+        StallMonitor stallMonitor = new StallMonitor(loop);
         KeyValueStoreClient store = new KeyValueStoreClient(loop, http, settings);
         election = new LeaderElection(loop, random, store, settings, this, counters);
         catalog = new MachineTypeCatalog(loop, http, settings, store);
@@ -68,7 +68,7 @@
         autoscaler = new Autoscaler(loop, http, settings, election, catalog, machines, this::requestCycle);
         scheduler = new Scheduler(
                 new SchedulerContext(
-                        loop, settings, store, election, staleness, catalog, machines, jobs, counters, stalls),
+                        loop, settings, store, election, staleness, catalog, machines, jobs, counters, stallMonitor),
                 autoscaler,
                 new WorkerNotifier());
         heartbeatService = new HeartbeatService(
@@ -84,7 +84,8 @@
                 counters);
         peerService = new PeerService(loop, http, settings, store, election, new PeerRequestHandler());
         health = new NodeHealth(loop, store, catalog, election, heartbeatService, peerService);
-        NodeStatus status = new NodeStatus(settings.node(), election, staleness, store, catalog, stalls, counters);
+        NodeStatus status =
+                new NodeStatus(settings.node(), election, staleness, store, catalog, stallMonitor, counters);
         router = new RequestRouter(jobApi, heartbeatService, peerService, store, health, status, counters);
     }
 
--- a/src/main/java/org/spoolline/NodeStatus.java
+++ b/src/main/java/org/spoolline/NodeStatus.java
@@ -19,7 +19,7 @@
     private final StalenessBound staleness;
     private final KeyValueStoreClient store;
     private final MachineTypeCatalog catalog;
-    private final StallMonitor stalls;
+    private final StallMonitor stallMonitor;
     private final Counters counters;
 
     NodeStatus(
@@ -28,14 +28,14 @@
             StalenessBound staleness,
             KeyValueStoreClient store,
             MachineTypeCatalog catalog,
-            StallMonitor stalls,
+            StallMonitor stallMonitor,
             Counters counters) {
         this.node = node;
         this.election = election;
         this.staleness = staleness;
         this.store = store;
         this.catalog = catalog;
-        this.stalls = stalls;
+        this.stallMonitor = stallMonitor;
         this.counters = counters;
     }
 
@@ -57,7 +57,7 @@
 
     private String currentStall() {
         StallMonitor.Situation situation =
-                election.isLeader() ? stalls.lastSituation().orElse(null) : null;
+                election.isLeader() ? stallMonitor.lastSituation().orElse(null) : null;
         return situation == null ? null : situation.toString();
     }
 }
--- a/src/main/java/org/spoolline/cluster/Machine.java
+++ b/src/main/java/org/spoolline/cluster/Machine.java
@@ -114,7 +114,7 @@
             earlyHeartbeats.raiseToken();
         }
         if (heartbeat.incarnation() > lastHeartbeat.incarnation()) {
-            history.forgetLaunches();
+            history.clearLaunches();
         }
         Map<AttemptId, TaskStatus> listedTasks = new HashMap<>();
         for (TaskStatus status : heartbeat.tasks()) {
--- a/src/main/java/org/spoolline/cluster/TaskHistory.java
+++ b/src/main/java/org/spoolline/cluster/TaskHistory.java
@@ -26,7 +26,7 @@
     }
 
     /** To be called on a new incarnation: it numbers heartbeats from 0 and executes no launch for an earlier one. */
-    void forgetLaunches() {
+    void clearLaunches() {
         launchedAtHeartbeat.clear();
     }
 
--- a/src/main/java/org/spoolline/election/LeaderElection.java
+++ b/src/main/java/org/spoolline/election/LeaderElection.java
@@ -102,7 +102,7 @@
      * time, so that running tasks survive a short outage of the store. A new leader therefore waits for the keep-alive
      * time before it declares a machine without heartbeats lost.
      */
-    public boolean mayKeepAlive() {
+    public boolean mayRenewWorkerLeases() {
         return leading && loop.now() < leaseKeeper.validUntil() + settings.keepAliveMs();
     }
 
--- a/src/main/java/org/spoolline/election/StalenessBound.java
+++ b/src/main/java/org/spoolline/election/StalenessBound.java
@@ -8,7 +8,7 @@
  *
  * <p>The view is complete as of a time t when it contains every change that was committed before t. Renewing the
  * leadership lease does not advance t, since another node may have confirmed cancellations that the view does not
- * contain yet. An election or the end of an outage does not advance it either. Only {@link #completeAsOf} does, with
+ * contain yet. An election or the end of an outage does not advance it either. Only {@link #viewCompleteAsOf} does, with
  * the time at which this node <em>sent</em> a request for the jobs that the store has answered.
  *
  * <p>Invariant: no task runs longer than {@code cancel_s} after the cancellation of its job was confirmed. If the view
@@ -24,7 +24,7 @@
     private final EventLoop loop;
     private final Settings settings;
     private final LeaderElection election;
-    private long completeAsOf = NEVER;
+    private long viewCompleteAsOf = NEVER;
 
     /** Creates a bound for a view that has not been read yet. */
     public StalenessBound(EventLoop loop, Settings settings, LeaderElection election) {
@@ -35,7 +35,7 @@
 
     /** Starts a new term, in which the view is not complete as of any time yet. */
     public void reset() {
-        completeAsOf = NEVER;
+        viewCompleteAsOf = NEVER;
     }
 
     /**
@@ -43,18 +43,18 @@
      *
      * @param sentAt when the request for the jobs was sent that is now answered, in ms of the event loop's time
      */
-    public void completeAsOf(long sentAt) {
-        completeAsOf = Math.max(completeAsOf, sentAt);
+    public void viewCompleteAsOf(long sentAt) {
+        viewCompleteAsOf = Math.max(viewCompleteAsOf, sentAt);
     }
 
     /** True once the view has been complete at any time in this term, even if it is stale now. */
     public boolean hasCompleteView() {
-        return completeAsOf != NEVER;
+        return viewCompleteAsOf != NEVER;
     }
 
     /** True while the view is recent enough to launch tasks and to make all other scheduling decisions. */
     public boolean mayLaunch() {
-        return election.hasValidLease() && loop.now() < settings.leadershipEndsAt(completeAsOf);
+        return election.hasValidLease() && loop.now() < settings.leadershipEndsAt(viewCompleteAsOf);
     }
 
     /**
@@ -62,7 +62,8 @@
      * no longer contains then runs at most until its worker's lease expires.
      */
     public boolean mayRenewLeases() {
-        return election.mayKeepAlive() && loop.now() < settings.leadershipEndsAt(completeAsOf) + settings.keepAliveMs();
+        return election.mayRenewWorkerLeases()
+                && loop.now() < settings.leadershipEndsAt(viewCompleteAsOf) + settings.keepAliveMs();
     }
 
     /**
--- a/src/main/java/org/spoolline/job/JobTable.java
+++ b/src/main/java/org/spoolline/job/JobTable.java
@@ -174,7 +174,7 @@
     }
 
     /** Discards the versions of removals up to this revision, since all later watch events have higher versions. */
-    public void forgetRemovalsUpTo(long revision) {
+    public void discardRemovalsUpTo(long revision) {
         removedAtVersion.values().removeIf(version -> version <= revision);
     }
 
--- a/src/main/java/org/spoolline/job/JobWatcher.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -89,7 +89,7 @@
             for (VersionedValue item : listing.values()) {
                 jobs.observe(new WatchEvent(item.key(), item.value(), item.version()), JobKeys.jobIdOfLive(item.key()));
             }
-            staleness.completeAsOf(sentAt);
+            staleness.viewCompleteAsOf(sentAt);
             counters.count(Event.JOBS_LISTED);
             recordReadSuccess(listing.revision(), sentAt);
             if (!loaded) {
@@ -125,8 +125,8 @@
                 recordReadFailure(Event.JOBS_WATCH_FAILED);
             } else {
                 recordReadSuccess(watched.revision(), sentAt);
-                jobs.forgetRemovalsUpTo(watched.revision());
-                staleness.completeAsOf(sentAt);
+                jobs.discardRemovalsUpTo(watched.revision());
+                staleness.viewCompleteAsOf(sentAt);
             }
             if (!watched.events().isEmpty()) {
                 onChanged.run();
--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
@@ -189,11 +189,11 @@
     }
 
     /** Renews a lease for its full time to live. Acquires its request itself, with debt. */
-    public void renewLease(long lease, Consumer<LeaseRenewal> onResult) {
+    public void renewLease(long leaseId, Consumer<LeaseRenewal> onResult) {
         acquireWithDebt(0);
         connection.send(
                 "POST",
-                KeyValueStoreCodec.renewLeasePath(lease),
+                KeyValueStoreCodec.renewLeasePath(leaseId),
                 KeyValueStoreCodec.encodeRenewLease(),
                 renewTimeoutMs,
                 reply -> onResult.accept(KeyValueStoreCodec.decodeRenewal(reply)));
@@ -203,9 +203,9 @@
      * Ends a lease at once. If the request fails, the lease expires after its time to live. Acquires its request
      * itself, with debt.
      */
-    public void endLease(long lease) {
+    public void endLease(long leaseId) {
         acquireWithDebt(0);
         connection.send(
-                "DELETE", KeyValueStoreCodec.leasePath(lease), null, Constants.Store.STORE_TIMEOUT_MS, reply -> {});
+                "DELETE", KeyValueStoreCodec.leasePath(leaseId), null, Constants.Store.STORE_TIMEOUT_MS, reply -> {});
     }
 }
--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreCodec.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreCodec.java
@@ -56,12 +56,12 @@
         return "/follow?prefix=" + prefix + "&after=" + afterRevision + "&waitMs=" + waitMs;
     }
 
-    static String renewLeasePath(long lease) {
-        return LEASES_PATH + "/" + lease + "/touch";
+    static String renewLeasePath(long leaseId) {
+        return LEASES_PATH + "/" + leaseId + "/touch";
     }
 
-    static String leasePath(long lease) {
-        return LEASES_PATH + "/" + lease;
+    static String leasePath(long leaseId) {
+        return LEASES_PATH + "/" + leaseId;
     }
 
     static byte[] encodeCreateLease(long ttlMs) {
@@ -89,7 +89,7 @@
         if (write instanceof Transaction.Put put) {
             node.put(PUT, put.key()).set(VALUE, put.value());
         } else if (write instanceof Transaction.LeasedPut put) {
-            node.put(PUT, put.key()).put(LEASE, put.lease()).set(VALUE, put.value());
+            node.put(PUT, put.key()).put(LEASE, put.leaseId()).set(VALUE, put.value());
         } else if (write instanceof Transaction.Delete delete) {
             node.put(DELETE, delete.key());
         }
@@ -160,8 +160,8 @@
 
     /** Decodes a created lease; empty if the store refused, did not respond, or returned no lease id. */
     static OptionalLong decodeLease(Http.Reply reply) {
-        long lease = reply.ok() ? Json.read(reply.body()).path(LEASE).asLong() : 0;
-        return lease == 0 ? OptionalLong.empty() : OptionalLong.of(lease);
+        long leaseId = reply.ok() ? Json.read(reply.body()).path(LEASE).asLong() : 0;
+        return leaseId == 0 ? OptionalLong.empty() : OptionalLong.of(leaseId);
     }
 
     static LeaseRenewal decodeRenewal(Http.Reply reply) {
--- a/src/main/java/org/spoolline/kvstore/Transaction.java
+++ b/src/main/java/org/spoolline/kvstore/Transaction.java
@@ -19,7 +19,7 @@
     record Put(String key, JsonNode value) implements Write {}
 
     /** Sets a key to a value; the store removes the key when the lease ends. */
-    record LeasedPut(String key, JsonNode value, long lease) implements Write {}
+    record LeasedPut(String key, JsonNode value, long leaseId) implements Write {}
 
     /** Deletes a key. */
     record Delete(String key) implements Write {}
@@ -40,8 +40,8 @@
     }
 
     /** Adds a write of a key that the store removes when the lease ends. */
-    public Transaction putWithLease(String key, JsonNode value, long lease) {
-        writes.add(new LeasedPut(key, value, lease));
+    public Transaction putWithLease(String key, JsonNode value, long leaseId) {
+        writes.add(new LeasedPut(key, value, leaseId));
         return this;
     }
 
--- a/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
@@ -81,7 +81,7 @@
     }
 
     /** Discards the state of a job that has reached a terminal state. */
-    public void forget(String jobId) {
+    public void removeJob(String jobId) {
         stops.removeJob(jobId);
         unlistedObservedAt.remove(jobId);
     }
@@ -92,8 +92,8 @@
     }
 
     /** The grace period in seconds of the attempt's stop request; empty when no stop is requested. */
-    public OptionalDouble graceOf(AttemptId attemptId) {
-        return stops.graceOf(attemptId);
+    public OptionalDouble stopGraceS(AttemptId attemptId) {
+        return stops.stopGraceS(attemptId);
     }
 
     /** Requests the stop of an attempt with this grace period in seconds; replaces an earlier request. */
--- a/src/main/java/org/spoolline/reconcile/DesiredState.java
+++ b/src/main/java/org/spoolline/reconcile/DesiredState.java
@@ -9,7 +9,7 @@
  */
 public interface DesiredState {
     /** The grace period in seconds with which the attempt is to be stopped; empty when it is to continue. */
-    OptionalDouble graceOf(AttemptId attempt);
+    OptionalDouble stopGraceS(AttemptId attempt);
 
     /** False while the launch of a stored attempt has to be delayed. */
     boolean mayLaunch(AttemptId attempt);
--- a/src/main/java/org/spoolline/reconcile/StopRequests.java
+++ b/src/main/java/org/spoolline/reconcile/StopRequests.java
@@ -21,14 +21,14 @@
     }
 
     /** The grace period in seconds of the attempt's stop request; empty when no stop is requested. */
-    OptionalDouble graceOf(AttemptId attemptId) {
+    OptionalDouble stopGraceS(AttemptId attemptId) {
         Map<AttemptId, OptionalDouble> graceByAttempt = graceByJob.get(attemptId.jobId());
         return graceByAttempt == null ? NOT_STOPPED : graceByAttempt.getOrDefault(attemptId, NOT_STOPPED);
     }
 
     /** True when the stop of the attempt is requested. */
     boolean contains(AttemptId attemptId) {
-        return graceOf(attemptId).isPresent();
+        return stopGraceS(attemptId).isPresent();
     }
 
     /** True when the stop of at least one attempt of the job is requested. */
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshotBuilder.java
@@ -42,24 +42,24 @@
     /**
      * Builds a snapshot of the current state.
      *
-     * @param workingJobs    jobs to plan, by id
-     * @param jobsWithFullValue       jobs whose stored value has no space for more attempts at present
-     * @param mayConsolidate true when the plan may evacuate machines
+     * @param jobsToPlan        jobs to plan, by id
+     * @param jobsWithFullValue jobs whose stored value has no space for more attempts at present
+     * @param mayConsolidate    true when the plan may evacuate machines
      */
-    ClusterSnapshot build(Map<String, Pipeline> workingJobs, JobPauses jobsWithFullValue, boolean mayConsolidate) {
+    ClusterSnapshot build(Map<String, Pipeline> jobsToPlan, JobPauses jobsWithFullValue, boolean mayConsolidate) {
         Map<String, List<Attempt>> pendingWriteAttempts = new HashMap<>();
         Set<String> placeableJobs = new HashSet<>();
-        for (Map.Entry<String, Pipeline> workingJob : workingJobs.entrySet()) {
-            String jobId = workingJob.getKey();
+        for (Map.Entry<String, Pipeline> jobToPlan : jobsToPlan.entrySet()) {
+            String jobId = jobToPlan.getKey();
             JobEntry entry = jobs.get(jobId);
             if (entry.inFlight()) {
                 pendingWriteAttempts.put(jobId, committedAndProposedAttempts(entry));
-            } else if (canPlaceTasks(workingJob.getValue()) && !jobsWithFullValue.isPaused(jobId)) {
+            } else if (canPlaceTasks(jobToPlan.getValue()) && !jobsWithFullValue.isPaused(jobId)) {
                 placeableJobs.add(jobId);
             }
         }
         return new ClusterSnapshot(
-                List.copyOf(workingJobs.values()),
+                List.copyOf(jobsToPlan.values()),
                 pendingWriteAttempts,
                 placeableJobs,
                 machines.byName(),
--- a/src/main/java/org/spoolline/scheduler/GangLaunchOrder.java
+++ b/src/main/java/org/spoolline/scheduler/GangLaunchOrder.java
@@ -37,7 +37,7 @@
     }
 
     /** Removes a gang that has reached a terminal state. */
-    void forget(String jobId) {
+    void removeJob(String jobId) {
         membersLaunchedLast.remove(jobId);
     }
 
--- a/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
+++ b/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
@@ -38,7 +38,7 @@
         this.gangLaunches = gangLaunches;
         this.images = images;
         this.counters = context.counters();
-        this.stallMonitor = context.stalls();
+        this.stallMonitor = context.stallMonitor();
         this.jobsWithFullValue = new JobPauses(context.loop());
     }
 
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -51,7 +51,7 @@
     }
 
     /** Removes the record of a preemption for image locality, once the job has reached a terminal state. */
-    void forget(String jobId) {
+    void removeJob(String jobId) {
         gangsPreemptedForImage.remove(jobId);
     }
 
--- a/src/main/java/org/spoolline/scheduler/Scheduler.java
+++ b/src/main/java/org/spoolline/scheduler/Scheduler.java
@@ -64,7 +64,7 @@
         machines = context.machines();
         jobs = context.jobs();
         counters = context.counters();
-        stallMonitor = context.stalls();
+        stallMonitor = context.stallMonitor();
         termState = TermState.create(context, listener, this::requestCycle);
         jobWatcher = new JobWatcher(
                 loop, context.store(), staleness, jobs, listener::jobsLoaded, this::requestCycle, counters);
@@ -146,8 +146,8 @@
     }
 
     @Override
-    public OptionalDouble graceOf(AttemptId attemptId) {
-        return termState.reconciler().graceOf(attemptId);
+    public OptionalDouble stopGraceS(AttemptId attemptId) {
+        return termState.reconciler().stopGraceS(attemptId);
     }
 
     @Override
--- a/src/main/java/org/spoolline/scheduler/SchedulerContext.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulerContext.java
@@ -23,7 +23,7 @@
  * @param machines  machines that the leader knows
  * @param jobs      live jobs that the leader knows
  * @param counters  event counters
- * @param stalls    monitor that logs why a leader places no tasks while jobs wait
+ * @param stallMonitor    monitor that logs why a leader places no tasks while jobs wait
  */
 public record SchedulerContext(
         EventLoop loop,
@@ -35,4 +35,4 @@
         MachineRegistry machines,
         JobTable jobs,
         Counters counters,
-        StallMonitor stalls) {}
+        StallMonitor stallMonitor) {}
--- a/src/main/java/org/spoolline/scheduler/TermState.java
+++ b/src/main/java/org/spoolline/scheduler/TermState.java
@@ -77,8 +77,8 @@
 
     /** Removes the state of a job that has reached a terminal state. */
     void removeJob(String jobId) {
-        reconciler.forget(jobId);
-        gangLaunches.forget(jobId);
-        reservations.forget(jobId);
+        reconciler.removeJob(jobId);
+        gangLaunches.removeJob(jobId);
+        reservations.removeJob(jobId);
     }
 }
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -116,7 +116,7 @@
             return;
         }
         election.observeWorkerToken(heartbeat.get().token());
-        if (!election.mayKeepAlive()) {
+        if (!election.mayRenewWorkerLeases()) {
             redirectToLeader(answer);
             return;
         }
--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -176,7 +176,7 @@
         if (job == null || job.cancelled() || !job.isActive(attempt)) {
             return OptionalDouble.of(0);
         }
-        return desiredState.graceOf(attemptId);
+        return desiredState.stopGraceS(attemptId);
     }
 
     /** True when the machine's last heartbeat lists another attempt of the same task that has not exited. */
--- a/src/test/java/org/spoolline/api/JobApiStatusTest.java
+++ b/src/test/java/org/spoolline/api/JobApiStatusTest.java
@@ -10,7 +10,7 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 import org.spoolline.pipeline.SubmissionCodec;
-import org.spoolline.upgrade.ProductionForms;
+import org.spoolline.upgrade.ProductionSamples;
 
 /** Exact responses to status requests and cancellations, and the requests to the key-value store that they cause. */
 class JobApiStatusTest {
@@ -208,7 +208,7 @@
 
     @Test
     void reportsJobWithAttemptsAsRunning() {
-        fixture.put("job/run-000007", Json.read(ProductionForms.bytes("wide.json")));
+        fixture.put("job/run-000007", Json.read(ProductionSamples.bytes("wide.json")));
         assertEquals(
                 "200 {\"uid\":\"run-000007\",\"status\":\"running\",\"done\":215,\"running\":1285}",
                 fixture.request("GET", "/submissions/run-000007"));
--- a/src/test/java/org/spoolline/election/LeaderElectionTest.java
+++ b/src/test/java/org/spoolline/election/LeaderElectionTest.java
@@ -139,9 +139,9 @@
         loop.runTo(loop.now() + SETTINGS.leadershipMs() + SETTINGS.renewMs());
         election.renewIfDue();
         assertFalse(election.hasValidLease());
-        assertTrue(election.mayKeepAlive());
+        assertTrue(election.mayRenewWorkerLeases());
         loop.runTo(loop.now() + SETTINGS.keepAliveMs());
-        assertFalse(election.mayKeepAlive());
+        assertFalse(election.mayRenewWorkerLeases());
     }
 
     @Test
@@ -153,7 +153,7 @@
         replies.put(LEADER_KEY_PATH, leaderKeyReply("other", 2));
         loop.runTo(loop.now() + SETTINGS.renewMs());
         assertFalse(election.isLeader());
-        assertFalse(election.mayKeepAlive());
+        assertFalse(election.mayRenewWorkerLeases());
         assertEquals(Optional.empty(), election.knownLeader());
         loop.runTo(loop.now() + WATCH_MS);
         assertEquals(Optional.of("other"), election.knownLeader());
--- a/src/test/java/org/spoolline/peer/PeerCodecTest.java
+++ b/src/test/java/org/spoolline/peer/PeerCodecTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.spoolline.net.Http;
-import org.spoolline.upgrade.ProductionForms;
+import org.spoolline.upgrade.ProductionSamples;
 
 /** Encoding of the messages between controllers, compared with that of the version in production. */
 class PeerCodecTest {
@@ -17,7 +17,7 @@
     @Test
     void encodesStatusAsProductionVersion() {
         assertArrayEquals(
-                ProductionForms.bytes("peer-status.cbor"),
+                ProductionSamples.bytes("peer-status.cbor"),
                 PeerCodec.encode(new PeerStatus("spooler-1", 41, true, false)));
     }
 
@@ -48,7 +48,7 @@
         assertTrue(PeerCodec.decodeRequest(INVALID_CBOR).isEmpty());
         assertTrue(PeerCodec.decodeResponse(INVALID_CBOR).isEmpty());
         // A status has no body, so it must not be decoded as a request.
-        assertTrue(PeerCodec.decodeRequest(ProductionForms.bytes("peer-status.cbor"))
+        assertTrue(PeerCodec.decodeRequest(ProductionSamples.bytes("peer-status.cbor"))
                 .isEmpty());
         assertEquals("", PeerCodec.decodeCancellation(INVALID_CBOR));
     }
--- a/src/test/java/org/spoolline/simulation/MalformedInputTest.java
+++ b/src/test/java/org/spoolline/simulation/MalformedInputTest.java
@@ -16,7 +16,7 @@
 import org.spoolline.codec.TreeCodec;
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
-import org.spoolline.upgrade.ProductionForms;
+import org.spoolline.upgrade.ProductionSamples;
 
 /** Malformed stored values, machine types, heartbeats and peer requests must not prevent other jobs from starting. */
 class MalformedInputTest {
@@ -41,7 +41,7 @@
         Simulation simulation = new Simulation(5);
         int count = 0;
         for (String form : List.of("accepted.json", "wide.json")) {
-            for (JsonNode malformed : malformedCopies(Json.read(ProductionForms.bytes(form)))) {
+            for (JsonNode malformed : malformedCopies(Json.read(ProductionSamples.bytes(form)))) {
                 String jobId = "run-77" + count++;
                 JsonNode submission = malformed.path("job");
                 if (submission.path("uid").asText().startsWith("run-")) {
@@ -59,7 +59,7 @@
     @Test
     void jobStoredUnderAnotherKeyDoesNotBlockOthers() {
         Simulation simulation = new Simulation(9);
-        simulation.store.put("job/run-771", Json.read(ProductionForms.bytes("accepted.json")));
+        simulation.store.put("job/run-771", Json.read(ProductionSamples.bytes("accepted.json")));
         assertOtherJobCompletes(simulation, "a value under the key of another job");
     }
 
@@ -72,7 +72,7 @@
         simulation.run(3);
         for (int i = 0; i < MALFORMED_VALUES.size(); i++) {
             ObjectNode dependent =
-                    Json.read(ProductionForms.bytes("accepted.json")).deepCopy();
+                    Json.read(ProductionSamples.bytes("accepted.json")).deepCopy();
             dependent.put("ver", 3);
             ObjectNode submission = (ObjectNode) dependent.path("job");
             submission.put("uid", "run-99" + i);
--- a/src/test/java/org/spoolline/simulation/StoreLimitsTest.java
+++ b/src/test/java/org/spoolline/simulation/StoreLimitsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.net.Json;
 import org.spoolline.pipeline.Pipeline;
-import org.spoolline.upgrade.ProductionForms;
+import org.spoolline.upgrade.ProductionSamples;
 
 /**
  * The key-value store lowers its limits on the size of values and transactions, which the settings announce beforehand.
@@ -55,7 +55,7 @@
             simulation.invariants.taskCompletedBefore(wide.jobId(), task);
         }
         simulation.cloud.capacity = 40;
-        simulation.store.put("job/" + wide.jobId(), Json.read(ProductionForms.bytes("wide.json")));
+        simulation.store.put("job/" + wide.jobId(), Json.read(ProductionSamples.bytes("wide.json")));
         simulation.controllers.announceLimits(2_048, 4, 28);
         simulation.store.lowerLimits(2_048, 4);
         simulation.run(2);
--- a/src/test/java/org/spoolline/upgrade/ProductionFormsTest.java
+++ b/src/test/java/org/spoolline/upgrade/ProductionSamplesTest.java
@@ -24,9 +24,9 @@
  * Compatibility with the production version during a rolling upgrade: this version must read the values that production
  * wrote, and must write the values that production may read in the same form.
  */
-class ProductionFormsTest {
+class ProductionSamplesTest {
     private static JsonNode value(String name) {
-        return Json.read(ProductionForms.bytes(name));
+        return Json.read(ProductionSamples.bytes(name));
     }
 
     @Test
@@ -45,7 +45,7 @@
                     attempt.task() + " " + attempt.number() + " " + attempt.machine() + " " + attempt.incarnation());
         }
         Set<String> expected =
-                new TreeSet<>(new String(ProductionForms.bytes("wide-attempts.txt"), StandardCharsets.UTF_8)
+                new TreeSet<>(new String(ProductionSamples.bytes("wide-attempts.txt"), StandardCharsets.UTF_8)
                         .lines()
                         .toList());
         assertEquals(expected, decodedAttempts);
@@ -68,7 +68,7 @@
         assertEquals(new TerminalRecord(false, 3), TerminalRecord.decode(value("final-aborted.json")));
         assertEquals(
                 Optional.of(new PeerStatus("spooler-1", 41, true, false)),
-                PeerCodec.decodeStatus(ProductionForms.bytes("peer-status.cbor")));
+                PeerCodec.decodeStatus(ProductionSamples.bytes("peer-status.cbor")));
     }
 
     /** Fields that a later version has added are ignored, and are lost when this version rewrites the value. */
--- a/src/test/java/org/spoolline/upgrade/RecordedProductionTest.java
+++ b/src/test/java/org/spoolline/upgrade/RecordedProductionTest.java
@@ -66,14 +66,14 @@
     @Test
     void productionRoundTripsRecordedValues() throws Exception {
         for (String file : List.of("accepted.json", "wide.json", "wide-cancelled.json")) {
-            JsonNode recordedValue = Json.read(ProductionForms.bytes(file));
+            JsonNode recordedValue = Json.read(ProductionSamples.bytes(file));
             Object pipeline = call("pipeline.Pipeline", "decode", JsonNode.class, recordedValue);
             JsonNode encodedValue =
                     (JsonNode) pipeline.getClass().getMethod("encode").invoke(pipeline);
             assertEquals(recordedValue, Json.read(Json.bytes(encodedValue)), file);
         }
         for (String file : List.of("final-done.json", "final-aborted.json")) {
-            JsonNode recordedValue = Json.read(ProductionForms.bytes(file));
+            JsonNode recordedValue = Json.read(ProductionSamples.bytes(file));
             Object record = call("intake.FinalRecord", "decode", JsonNode.class, recordedValue);
             TerminalRecord decodedRecord = TerminalRecord.decode(recordedValue);
             assertEquals(
--- a/src/test/java/org/spoolline/worker/OrderPlannerTest.java
+++ b/src/test/java/org/spoolline/worker/OrderPlannerTest.java
@@ -46,7 +46,7 @@
     /** Permits the launch of all attempts and requests no stops. */
     private static final class LaunchAllStopNone implements DesiredState {
         @Override
-        public OptionalDouble graceOf(AttemptId attempt) {
+        public OptionalDouble stopGraceS(AttemptId attempt) {
             return OptionalDouble.empty();
         }
 
