--- a/src/main/java/org/spoolline/Controller.java
+++ b/src/main/java/org/spoolline/Controller.java
@@ -165,13 +165,13 @@
 
         @Override
         public void ordersChanged(Set<String> machines) {
-            heartbeatService.releaseHeldLaunches();
+            heartbeatService.sendHeldResponsesWithLaunches();
             heartbeatService.requestEarlyHeartbeats(machines);
         }
 
         @Override
         public void ordersComplete(Set<String> machines) {
-            heartbeatService.releaseHeldResponses();
+            heartbeatService.sendHeldResponses();
             heartbeatService.requestEarlyHeartbeats(machines);
         }
     }
--- a/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
@@ -76,16 +76,16 @@
     /**
      * Reads the types from the cloud with a single request.
      *
-     * @param done called on the event loop; with true when the reply names types, which then replace the current ones
+     * @param onResult called on the event loop; with true when the reply names types, which then replace the current ones
      */
-    public void refresh(Consumer<Boolean> done) {
+    public void refresh(Consumer<Boolean> onResult) {
         http.call(
                 settings.cloudAddress(),
                 "GET",
                 PATH,
                 null,
                 Constants.Autoscaling.CLOUD_TIMEOUT_MS,
-                reply -> done.accept(reply.ok() && replaceTypes(Json.read(reply.body()))));
+                reply -> onResult.accept(reply.ok() && replaceTypes(Json.read(reply.body()))));
     }
 
     /** Replaces the types by those in the reply; returns false and keeps the current types when it names none. */
--- a/src/main/java/org/spoolline/metrics/Counters.java
+++ b/src/main/java/org/spoolline/metrics/Counters.java
@@ -53,7 +53,7 @@
     }
 
     private void log() {
-        String increments = takeIncrements();
+        String increments = incrementsSinceLastLog();
         if (!increments.isEmpty()) {
             LOG.info("Counters of the last minute:{}", increments);
         }
@@ -61,7 +61,7 @@
     }
 
     /** Returns the nonzero increments since the last call as {@code label=count} pairs, each preceded by a space. */
-    private String takeIncrements() {
+    private String incrementsSinceLastLog() {
         StringBuilder text = new StringBuilder();
         for (Event event : EVENTS) {
             int index = event.ordinal();
--- a/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
@@ -51,8 +51,8 @@
         Submission spec = gang.spec();
         victims.collect(job -> true);
         List<Victim.OnMachine> chosen = gangPreemption.choose(gang, machine -> machine.hasImage(spec));
-        double lost = GangPreemption.totalCost(chosen);
-        if (chosen.isEmpty() || lost >= fetchS * spec.cores() * spec.tasks()) {
+        double preemptionCost = GangPreemption.totalCost(chosen);
+        if (chosen.isEmpty() || preemptionCost >= fetchS * spec.cores() * spec.tasks()) {
             return false;
         }
         preemptions.add(reserve(gang, chosen, true));
--- a/src/main/java/org/spoolline/worker/HeartbeatResponder.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -92,7 +92,7 @@
     }
 
     private List<Order> ordersFor(PendingResponse pending) {
-        if (!ordersEnabled || !pending.answersLastHeartbeat()) {
+        if (!ordersEnabled || !pending.isForLastHeartbeat()) {
             return List.of();
         }
         if (staleness.mayLaunch()) {
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -37,7 +37,7 @@
     private final Consumer<Machine> onChange;
     private final Counters counters;
     private final OrderPlanner planner;
-    private final HeartbeatResponder responder;
+    private final HeartbeatResponder heartbeatResponder;
     private final HeldResponses heldResponses;
     private final EarlyHeartbeatRequests earlyHeartbeats;
     private long lastHeartbeatAt;
@@ -71,8 +71,8 @@
         TeamQuotas quotas = new TeamQuotas(settings, jobs);
         planner = new OrderPlanner(jobs, quotas, desiredState, counters);
         LaunchLog launchLog = new LaunchLog(jobs, quotas, counters);
-        responder = new HeartbeatResponder(loop, election, staleness, planner, launchLog, counters);
-        heldResponses = new HeldResponses(loop, staleness, planner, responder);
+        heartbeatResponder = new HeartbeatResponder(loop, election, staleness, planner, launchLog, counters);
+        heldResponses = new HeldResponses(loop, staleness, planner, heartbeatResponder);
         earlyHeartbeats = new EarlyHeartbeatRequests(loop, http, settings, election, machines, heldResponses);
     }
 
@@ -94,43 +94,43 @@
 
     /** Includes orders in later responses; called once the live jobs have been read under the current fencing token. */
     public void enableOrders() {
-        responder.enableOrders();
+        heartbeatResponder.enableOrders();
     }
 
     /** Excludes orders from responses until {@link #enableOrders}; called when a leadership term begins or ends. */
     public void disableOrders() {
-        responder.disableOrders();
+        heartbeatResponder.disableOrders();
     }
 
-    /** Handles one heartbeat request. Calls {@code answer} exactly once, immediately or after a short hold. */
-    public void handle(Http.Request request, Consumer<Http.Response> answer) {
+    /** Handles one heartbeat request. Calls {@code responder} exactly once, immediately or after a short hold. */
+    public void handle(Http.Request request, Consumer<Http.Response> responder) {
         if (!election.isLeader()) {
             // The body is not decoded: after a crash of all controllers, a thousand workers send heartbeats to
             // controllers that have just started.
-            redirectToLeader(answer);
+            redirectToLeader(responder);
             return;
         }
         Optional<Heartbeat> heartbeat = HeartbeatCodec.decode(request.body());
         if (heartbeat.isEmpty()) {
-            reject(HeartbeatRejection.MALFORMED, answer);
+            reject(HeartbeatRejection.MALFORMED, responder);
             return;
         }
         election.observeWorkerToken(heartbeat.get().token());
         if (!election.mayRenewWorkerLeases()) {
-            redirectToLeader(answer);
+            redirectToLeader(responder);
             return;
         }
-        handleAsLeader(heartbeat.get(), answer);
+        handleAsLeader(heartbeat.get(), responder);
     }
 
     /** Sends all held responses; called once all values of the scheduling cycles are written. */
-    public void releaseHeldResponses() {
-        heldResponses.releaseAll();
+    public void sendHeldResponses() {
+        heldResponses.sendAll();
     }
 
     /** Sends the held responses to machines that have attempts to launch. */
-    public void releaseHeldLaunches() {
-        heldResponses.releaseWithLaunches();
+    public void sendHeldResponsesWithLaunches() {
+        heldResponses.sendWithLaunches();
     }
 
     /**
@@ -141,21 +141,21 @@
         earlyHeartbeats.request(machineNames);
     }
 
-    private void handleAsLeader(Heartbeat heartbeat, Consumer<Http.Response> answer) {
+    private void handleAsLeader(Heartbeat heartbeat, Consumer<Http.Response> responder) {
         Machine machine = machines.getOrRegister(
                 heartbeat.machine(), heartbeat.type(), heartbeat.zone(), heartbeat.spot(), loop.now());
         if (machine.terminated()) {
-            reject(HeartbeatRejection.MACHINE_TERMINATED, answer);
+            reject(HeartbeatRejection.MACHINE_TERMINATED, responder);
             return;
         }
         if (shouldProbeForLeader(machine)) {
-            reject(HeartbeatRejection.LEADER_PROBE, answer);
+            reject(HeartbeatRejection.LEADER_PROBE, responder);
             return;
         }
         boolean isFirst = !machine.hasReported();
         Machine.HeartbeatChange change = machine.accept(heartbeat, leaseMs, loop.now());
         if (change == Machine.HeartbeatChange.STALE) {
-            reject(HeartbeatRejection.STALE_HEARTBEAT, answer);
+            reject(HeartbeatRejection.STALE_HEARTBEAT, responder);
             return;
         }
         lastHeartbeatAt = loop.now();
@@ -164,8 +164,8 @@
         }
         // The response to this heartbeat contains the orders for which an early heartbeat was to be requested.
         earlyHeartbeats.cancel(machine.name());
-        heldResponses.answerSuperseded(machine.name());
-        respond(machine, isFirst, answer);
+        heldResponses.respondToSuperseded(machine.name());
+        respond(machine, isFirst, responder);
         if (change == Machine.HeartbeatChange.CHANGED) {
             onChange.accept(machine);
         }
@@ -193,12 +193,12 @@
                 machine.incarnation());
     }
 
-    private void respond(Machine machine, boolean isFirst, Consumer<Http.Response> answer) {
-        PendingResponse pending = new PendingResponse(machine, loop.now(), answer);
+    private void respond(Machine machine, boolean isFirst, Consumer<Http.Response> responder) {
+        PendingResponse pending = new PendingResponse(machine, loop.now(), responder);
         if (shouldHold(machine, isFirst)) {
             heldResponses.hold(pending);
         } else {
-            responder.respondWithOrders(pending);
+            heartbeatResponder.respondWithOrders(pending);
         }
     }
 
@@ -223,19 +223,19 @@
         return isFirst && machine.tasks().isEmpty();
     }
 
-    private void redirectToLeader(Consumer<Http.Response> answer) {
+    private void redirectToLeader(Consumer<Http.Response> responder) {
         lastHeartbeatAt = loop.now();
         Optional<String> leader = election.knownLeader();
         if (leader.isEmpty()) {
-            reject(HeartbeatRejection.NO_KNOWN_LEADER, answer);
+            reject(HeartbeatRejection.NO_KNOWN_LEADER, responder);
             return;
         }
         counters.count(Event.HEARTBEAT_REDIRECTED);
-        answer.accept(HeartbeatResponseCodec.redirect(leader.get()));
+        responder.accept(HeartbeatResponseCodec.redirect(leader.get()));
     }
 
-    private void reject(HeartbeatRejection rejection, Consumer<Http.Response> answer) {
+    private void reject(HeartbeatRejection rejection, Consumer<Http.Response> responder) {
         counters.count(rejection.event());
-        answer.accept(HeartbeatResponseCodec.rejection(rejection));
+        responder.accept(HeartbeatResponseCodec.rejection(rejection));
     }
 }
--- a/src/main/java/org/spoolline/worker/HeldResponses.java
+++ b/src/main/java/org/spoolline/worker/HeldResponses.java
@@ -34,11 +34,11 @@
     /** Holds the response. No other response to the same machine may be held. */
     void hold(PendingResponse pending) {
         byMachine.put(pending.machine().name(), pending);
-        loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> release(pending));
+        loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> sendOrExtendHold(pending));
     }
 
     /** Sends the machine's held response, if any, without orders because a later heartbeat has arrived. */
-    void answerSuperseded(String machine) {
+    void respondToSuperseded(String machine) {
         PendingResponse superseded = byMachine.remove(machine);
         if (superseded != null) {
             responder.respondWithoutOrders(superseded);
@@ -46,17 +46,17 @@
     }
 
     /** Sends all held responses. */
-    void releaseAll() {
+    void sendAll() {
         for (PendingResponse pending : List.copyOf(byMachine.values())) {
-            release(pending);
+            sendOrExtendHold(pending);
         }
     }
 
     /** Sends the held responses to machines that have attempts to launch. */
-    void releaseWithLaunches() {
+    void sendWithLaunches() {
         for (PendingResponse pending : List.copyOf(byMachine.values())) {
             if (planner.hasUnreportedAttempt(pending.machine())) {
-                release(pending);
+                sendOrExtendHold(pending);
             }
         }
     }
@@ -65,10 +65,10 @@
      * Sends the response with orders, or extends the hold for a limited time while a new leader is still reading the
      * live jobs.
      */
-    private void release(PendingResponse pending) {
+    private void sendOrExtendHold(PendingResponse pending) {
         if (!staleness.hasCompleteView()
                 && loop.now() - pending.receivedAt() < Constants.Heartbeat.RESPONSE_HOLD_UNTIL_LOADED_MS) {
-            loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> release(pending));
+            loop.after(Constants.Heartbeat.RESPONSE_HOLD_MS, () -> sendOrExtendHold(pending));
         } else if (byMachine.remove(pending.machine().name(), pending)) {
             responder.respondWithOrders(pending);
         }
--- a/src/main/java/org/spoolline/worker/PendingResponse.java
+++ b/src/main/java/org/spoolline/worker/PendingResponse.java
@@ -13,17 +13,17 @@
     private final long incarnation;
     private final long heartbeatNumber;
     private final long receivedAt;
-    private final Consumer<Http.Response> answer;
+    private final Consumer<Http.Response> responder;
 
     /**
      * Creates the response to the machine's last heartbeat, received at {@code receivedAt} in ms of the loop's clock.
      */
-    PendingResponse(Machine machine, long receivedAt, Consumer<Http.Response> answer) {
+    PendingResponse(Machine machine, long receivedAt, Consumer<Http.Response> responder) {
         this.machine = machine;
         this.incarnation = machine.incarnation();
         this.heartbeatNumber = machine.heartbeatNumber();
         this.receivedAt = receivedAt;
-        this.answer = answer;
+        this.responder = responder;
     }
 
     /** The machine that sent the heartbeat. */
@@ -40,12 +40,12 @@
      * True when no later heartbeat of the machine has been accepted since. Only then do orders that are computed from
      * the machine's last heartbeat apply to this response.
      */
-    boolean answersLastHeartbeat() {
+    boolean isForLastHeartbeat() {
         return machine.incarnation() == incarnation && machine.heartbeatNumber() == heartbeatNumber;
     }
 
     /** Sends the response; must be called exactly once. */
     void send(Http.Response response) {
-        answer.accept(response);
+        responder.accept(response);
     }
 }
