--- a/src/main/java/org/spoolline/NodeHealth.java
+++ b/src/main/java/org/spoolline/NodeHealth.java
@@ -35,7 +35,7 @@
         this.peerService = peerService;
     }
 
-    /** Probes the key-value store now and then every {@link Constants.Store#STORE_PROBE_MS}. */
+    /** Probes the key-value store immediately, and then again every {@link Constants.Store#STORE_PROBE_MS}. */
     void probePeriodically() {
         store.probe();
         stepDownIfWorkersReachOnlyPeers();
--- a/src/main/java/org/spoolline/api/AncestorCache.java
+++ b/src/main/java/org/spoolline/api/AncestorCache.java
@@ -17,7 +17,7 @@
     /**
      * A live job that was not cancelled when it was read.
      *
-     * @param readSentAt   when the request that read the job was sent, in ms of the event loop's time
+     * @param readSentAt   when the request that read the job was sent, in ms of the event loop's clock
      * @param dependencies the job's own direct dependencies
      * @param service      true if the job is a service, which runs until it is cancelled
      */
@@ -34,7 +34,10 @@
         this.stalenessBoundMs = stalenessBoundMs;
     }
 
-    /** Caches a live value that was committed or read by a request sent at {@code sentAt}, in the event loop's time. */
+    /**
+     * Caches a live value that was committed or read by a request sent at {@code sentAt}, in ms of the event loop's
+     * clock.
+     */
     void observe(Pipeline job, long sentAt) {
         if (job.cancelled()) {
             cancelledJobs.put(job.jobId(), true);
--- a/src/main/java/org/spoolline/api/AncestorVerdict.java
+++ b/src/main/java/org/spoolline/api/AncestorVerdict.java
@@ -11,7 +11,7 @@
     CANCELLED,
     /** An ancestor could not be read because this node's share of the store's rate limit is exhausted. */
     RATE_LIMITED,
-    /** An ancestor could not be read because the store did not answer. */
+    /** An ancestor could not be read because the store did not respond. */
     STORE_UNREACHABLE,
     /** A dependency was never accepted, or a direct one is a service, which runs until it is cancelled. */
     UNSATISFIABLE;
--- a/src/main/java/org/spoolline/api/CancellationHandler.java
+++ b/src/main/java/org/spoolline/api/CancellationHandler.java
@@ -92,7 +92,10 @@
         return value;
     }
 
-    /** True after a concurrent change, and after a rejection for size, which puts the announced limits in force. */
+    /**
+     * True after a conflict with a concurrent change, and after a rejection for size, since a retry is encoded for the
+     * announced limits.
+     */
     private static boolean isRetryable(CommitOutcome outcome) {
         return outcome == CommitOutcome.CONFLICT || outcome == CommitOutcome.TOO_LARGE;
     }
--- a/src/main/java/org/spoolline/api/StatusHandler.java
+++ b/src/main/java/org/spoolline/api/StatusHandler.java
@@ -15,8 +15,8 @@
 
 /**
  * Responds to status requests with the state that is committed in the key-value store. While the request budget under
- * the rate limit is low, the cached statuses of live jobs are checked in a {@link StatusBatch}, and other jobs are read
- * only if they have not had a response recently.
+ * the rate limit is low, the cached statuses of live jobs are checked in a {@link StatusBatch}, and a job without a
+ * cached status is read only if this node has not responded for it recently.
  */
 final class StatusHandler {
     private static final long NEVER_RESPONDED = Long.MIN_VALUE / 2;
@@ -27,7 +27,7 @@
     private final AncestorChecker ancestorChecker;
     private final CancellationHandler cancellationHandler;
     private final StatusBatch batch;
-    /** Time of this node's last response with a job's status, by job id, in ms of the event loop's time. */
+    /** Time of this node's last response with a job's status, by job id, in ms of the event loop's clock. */
     private final Map<String, Long> lastRespondedAt = new LruJobCache<>();
     /** Cached statuses by job id, of jobs that were live when this node last read them. */
     private final Map<String, LiveStatus> liveStatuses = new LruJobCache<>();
--- a/src/main/java/org/spoolline/autoscaler/Autoscaler.java
+++ b/src/main/java/org/spoolline/autoscaler/Autoscaler.java
@@ -28,7 +28,7 @@
     /**
      * Creates an autoscaler that does nothing until this node is elected.
      *
-     * @param onChange runs after each reply of the cloud that may change the capacity available to the scheduler
+     * @param onChange runs after each response of the cloud that may change the capacity available to the scheduler
      */
     public Autoscaler(
             EventLoop loop,
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Starts a term of leadership and discards all state of earlier terms. Machines that the previous leader acquired
-     * are read from the cloud's machine list.
+     * Starts a term and discards all state of earlier terms. Machines that the previous leader acquired are read from
+     * the cloud's machine list.
      */
     public void elected(long token) {
         long now = loop.now();
@@ -59,7 +59,7 @@
         typesRequestedAt = now;
     }
 
-    /** Ends the term; replies to requests still in flight are ignored. */
+    /** Ends the term; responses to requests still in flight are ignored. */
     public void steppedDown() {
         cloud.endTerm();
     }
--- a/src/main/java/org/spoolline/autoscaler/CloudClient.java
+++ b/src/main/java/org/spoolline/autoscaler/CloudClient.java
@@ -8,8 +8,8 @@
 import org.spoolline.net.RateLimiter;
 
 /**
- * Sends the leader's requests to the cloud within the leader's share of the rate limit. Replies and timers of an
- * earlier term of leadership are ignored. Confined to the event loop.
+ * Sends the leader's requests to the cloud within the leader's share of the rate limit. Responses and timers of an
+ * earlier term are ignored. Used on the event loop only.
  */
 final class CloudClient {
     private final EventLoop loop;
@@ -26,12 +26,12 @@
                 new RateLimiter(settings.cloud().requestsPerS() * Constants.Autoscaling.CLOUD_LEADER_SHARE, loop.now());
     }
 
-    /** Starts a term of leadership, identified by its fencing token. */
+    /** Starts a term, identified by its fencing token. */
     void beginTerm(long token) {
         term = token;
     }
 
-    /** Ends the term; replies and timers that are still pending are ignored. */
+    /** Ends the term; responses and timers that are still pending are ignored. */
     void endTerm() {
         term = 0;
     }
@@ -42,23 +42,23 @@
     }
 
     /**
-     * Acquires one request from the rate limit; returns false and acquires nothing if the limit does not allow one now.
+     * Acquires a permit for one request; returns false and acquires none if the rate limit allows no request now.
      */
     boolean tryAcquire(long now) {
         return rateLimiter.tryAcquire(1, now);
     }
 
-    /** Acquires one request from the rate limit, going into debt if necessary, which delays later requests. */
+    /** Acquires a permit for one request, going into debt if necessary, which delays later requests. */
     void acquireWithDebt() {
         rateLimiter.acquireWithDebt(1, loop.now());
     }
 
-    /** Sends a read. The caller must have acquired a request from the rate limit. */
+    /** Sends a read. The caller must have acquired a permit for it. */
     void get(String path, Consumer<Http.Reply> onReply) {
         call("GET", path, null, onReply);
     }
 
-    /** Sends a change. The caller must have acquired a request from the rate limit. */
+    /** Sends a change. The caller must have acquired a permit for it. */
     void post(String path, byte[] body, Consumer<Http.Reply> onReply) {
         call("POST", path, body, onReply);
     }
--- a/src/main/java/org/spoolline/autoscaler/CloudCodec.java
+++ b/src/main/java/org/spoolline/autoscaler/CloudCodec.java
@@ -8,7 +8,7 @@
 import org.spoolline.cluster.Machine;
 import org.spoolline.net.Json;
 
-/** Encodes machine requests to the cloud and parses its replies; the only class that uses their wire format. */
+/** Encodes machine requests to the cloud and parses its responses; the only class that uses their wire format. */
 final class CloudCodec {
     /** Path of the request that acquires machines. */
     static final String ACQUIRE_PATH = "/rentals";
@@ -40,7 +40,7 @@
         return "/rentals?after=" + after + "&most=" + limit;
     }
 
-    /** Parses one page of the list. A malformed reply yields an empty last page. */
+    /** Parses one page of the list. A malformed response yields an empty last page. */
     static ListPage parseList(byte[] reply) {
         JsonNode body = Json.read(reply);
         List<ListedMachine> machines = new ArrayList<>();
@@ -72,7 +72,7 @@
         return Json.bytes(body);
     }
 
-    /** Parses the names of the acquired machines; empty if the reply is malformed. */
+    /** Parses the names of the acquired machines; empty if the response is malformed. */
     static List<String> parseAcquired(byte[] reply) {
         List<String> names = new ArrayList<>();
         for (JsonNode name : Json.read(reply).path("spoolers")) {
--- a/src/main/java/org/spoolline/autoscaler/ReleasePolicy.java
+++ b/src/main/java/org/spoolline/autoscaler/ReleasePolicy.java
@@ -16,12 +16,12 @@
     /**
      * The input of one pass.
      *
-     * @param electedAt         start of the current term in ms of the monotonic clock
+     * @param electedAt         start of the current term in ms of the event loop's clock
      * @param recentDemandCores cores that jobs requested recently; idle machines are retained up to this number of
      *     cores
      * @param holdsWork         tests by name whether a machine has attempts or is expected to receive work, so that it
      *     is not idle
-     * @param now               current time in ms of the monotonic clock
+     * @param now               current time in ms of the event loop's clock
      */
     record Input(long electedAt, double recentDemandCores, Predicate<String> holdsWork, long now) {}
 
@@ -67,8 +67,8 @@
     }
 
     /**
-     * The timeout starts at the election or later, since a new leader has not yet received heartbeats of machines that
-     * booted long ago.
+     * The timeout starts no earlier than the election, since a new leader has not yet received heartbeats of machines
+     * that booted long ago.
      */
     private boolean hasExceededBootTimeout(Machine machine) {
         MachineType type = types.get(machine.type());
--- a/src/main/java/org/spoolline/autoscaler/ScaleIn.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleIn.java
@@ -45,7 +45,7 @@
         this.onChange = onChange;
     }
 
-    /** Starts a term; releases requested in earlier terms are forgotten. */
+    /** Starts a term; releases requested in earlier terms are discarded. */
     void beginTerm(long now) {
         electedAt = now;
         releasing.clear();
--- a/src/main/java/org/spoolline/autoscaler/ScaleOut.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOut.java
@@ -27,7 +27,7 @@
     private final MachineTypeCatalog catalog;
     private final MachineRegistry machines;
     private final Runnable onChange;
-    /** Number of machines requested, by offer, while the request has no definite reply. */
+    /** Number of machines requested, by offer, while the request has no definite response. */
     private final Map<ScaleOutPlanner.Offer, Integer> pendingCounts = new HashMap<>();
     /**
      * Time in ms before which an offer is not requested again, after the cloud rejected it or acquired fewer machines.
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Sends the request. The reply is processed even if the leadership lease has expired for a moment: otherwise the
+     * Sends the request. The response is processed even if the leadership lease has expired for a moment: otherwise the
      * offer would stay pending and never be requested again in this term.
      */
     private void request(ScaleOutPlanner.Offer offer, int count, String requestId) {
@@ -147,7 +147,7 @@
     }
 
     /**
-     * Retries a request that got no definite reply, with the same id: with a new id the cloud could acquire the
+     * Retries a request that got no definite response, with the same id: with a new id the cloud could acquire the
      * machines twice. Waits for another retry delay while the leadership lease is expired.
      */
     private void retry(ScaleOutPlanner.Offer offer, int count, String requestId) {
--- a/src/main/java/org/spoolline/cli/Main.java
+++ b/src/main/java/org/spoolline/cli/Main.java
@@ -37,7 +37,10 @@
             description = "Serve canned requests on loopback and exit; the build records the classes it loads.")
     private boolean trainClassArchive;
 
-    /** Runs the command; a failed command or a training run exits at once, others end with their last thread. */
+    /**
+     * Runs the command; after a failed command or a training run the process exits at once, otherwise when its last
+     * thread ends.
+     */
     public static void main(String[] args) {
         ProcessLogging.configure(System.getenv("LOG_LEVEL"));
         configurePlatform();
--- a/src/main/java/org/spoolline/cluster/Downlink.java
+++ b/src/main/java/org/spoolline/cluster/Downlink.java
@@ -9,11 +9,11 @@
 final class Downlink {
     private static final long NEVER = -1;
 
-    /** What a heartbeat tells about the delivery of the responses to earlier ones. */
+    /** What a heartbeat shows about the delivery of the responses to earlier heartbeats. */
     enum Observation {
         /**
-         * Neither of the others: no response or no new token was sent, or so few responses are unacknowledged that the
-         * network may have lost them.
+         * Delivery can't be determined: no response or no new token was sent, or so few responses are unacknowledged
+         * that the network may have lost them.
          */
         INCONCLUSIVE,
         /** The worker has observed a token that it had not observed before, so it received a response. */
@@ -33,12 +33,15 @@
         lastSentToken = token;
     }
 
-    /** Time of the last response that renewed the lease, in ms of the loop's clock; -1 before the first one. */
+    /** Time of the last response that renewed the lease, in ms of the event loop's clock; -1 before the first one. */
     long lastResponseAt() {
         return lastResponseAt;
     }
 
-    /** Time at which responses were found not to arrive, in ms of the loop's clock; -1 while none are known to fail. */
+    /**
+     * Time at which responses were found not to arrive, in ms of the event loop's clock; -1 while none are known to
+     * fail.
+     */
     long unreachableSince() {
         return unreachableSince;
     }
--- a/src/main/java/org/spoolline/cluster/EarlyHeartbeats.java
+++ b/src/main/java/org/spoolline/cluster/EarlyHeartbeats.java
@@ -2,7 +2,7 @@
 
 /**
  * Early-heartbeat requests to one machine. Each request raises the token sent to the machine, within the range reserved
- * for the current leadership. A worker sends a heartbeat at once when it observes a raised token.
+ * for the current term. A worker sends a heartbeat at once when it observes a raised token.
  */
 final class EarlyHeartbeats {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -10,12 +10,12 @@
     private long tokenIncrements;
     private long requestedAt = NEVER;
 
-    /** Difference between the machine's token and the lowest worker token of the current leadership. */
+    /** Difference between the machine's token and the lowest worker token of the current term. */
     long tokenIncrements() {
         return tokenIncrements;
     }
 
-    /** Time of the last request in ms of the loop's clock; a time far in the past if there was none. */
+    /** Time of the last request in ms of the event loop's clock; a time far in the past if there was none. */
     long requestedAt() {
         return requestedAt;
     }
--- a/src/main/java/org/spoolline/cluster/LastHeartbeat.java
+++ b/src/main/java/org/spoolline/cluster/LastHeartbeat.java
@@ -15,7 +15,7 @@
     private OptionalDouble interruptionNoticeS = OptionalDouble.empty();
     private Map<AttemptId, TaskStatus> tasks = Map.of();
 
-    /** Time of receipt in ms of the loop's clock; -1 before the first heartbeat. */
+    /** Time of receipt in ms of the event loop's clock; -1 before the first heartbeat. */
     long receivedAt() {
         return receivedAt;
     }
@@ -29,7 +29,9 @@
         return incarnation;
     }
 
-    /** Time of receipt of the first heartbeat of its incarnation, in ms of the loop's clock; -1 before the first. */
+    /**
+     * Time of receipt of the first heartbeat of its incarnation, in ms of the event loop's clock; -1 before the first.
+     */
     long incarnationSince() {
         return incarnationSince;
     }
--- a/src/main/java/org/spoolline/cluster/Machine.java
+++ b/src/main/java/org/spoolline/cluster/Machine.java
@@ -5,17 +5,17 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * The leader's state of one machine during its current leadership. Accessed on the event loop only. All times are in
- * ms of the loop's clock.
+ * The leader's state of one machine during its current term. Used on the event loop only. All times are in ms of the
+ * event loop's clock.
  */
 public final class Machine {
     /** How a heartbeat differs from the last one. */
     public enum HeartbeatChange {
-        /** It is not newer than the last one, as a delayed or duplicated heartbeat, and is ignored. */
+        /** The heartbeat is delayed or duplicated, so it is not newer than the last one and is ignored. */
         STALE,
-        /** It only shows that the machine is alive. */
+        /** The heartbeat only shows that the machine is alive. */
         UNCHANGED,
-        /** It has a change that a scheduling cycle has to evaluate. */
+        /** The heartbeat has a change that a scheduling cycle has to evaluate. */
         CHANGED
     }
 
@@ -70,7 +70,7 @@
         return lastHeartbeat.incarnation();
     }
 
-    /** Time of receipt of that incarnation's first heartbeat during the current leadership; -1 before the first. */
+    /** Time of receipt of that incarnation's first heartbeat during the current term; -1 before the first. */
     public long incarnationSince() {
         return lastHeartbeat.incarnationSince();
     }
@@ -90,7 +90,7 @@
         return lastHeartbeat.hasInterruptionNotice();
     }
 
-    /** True once a heartbeat has been received during the current leadership. */
+    /** True once a heartbeat has been received during the current term. */
     public boolean hasReported() {
         return lastHeartbeat.receivedAt() >= 0;
     }
@@ -161,7 +161,7 @@
         return true;
     }
 
-    /** Difference between the machine's token and the lowest worker token of the current leadership. */
+    /** Difference between the machine's token and the lowest worker token of the current term. */
     public long tokenIncrements() {
         return earlyHeartbeats.tokenIncrements();
     }
--- a/src/main/java/org/spoolline/cluster/MachineRegistry.java
+++ b/src/main/java/org/spoolline/cluster/MachineRegistry.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * All machines known to the leader during its current leadership, in order of registration. Terminated machines are
- * retained, so that delayed heartbeats from them are recognized. Accessed on the event loop only.
+ * All machines known to the leader during its current term, in order of registration. Terminated machines are retained,
+ * so that delayed heartbeats from them are recognized. Used on the event loop only.
  */
 public final class MachineRegistry {
     private final Map<String, Machine> machines = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
         return machines.computeIfAbsent(name, n -> new Machine(n, type, zone, spot, knownSince));
     }
 
-    /** Removes all machines; to be called at the start of a leadership. */
+    /** Removes all machines; to be called at the start of a term. */
     public void clear() {
         machines.clear();
     }
--- a/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
@@ -14,8 +14,8 @@
 import org.spoolline.net.Json;
 
 /**
- * The machine types, read from the cloud or, until the cloud replies, from the key-value store. Confined to the event
- * loop.
+ * The machine types, read from the cloud or, until the cloud responds, from the key-value store. Used on the event loop
+ * only.
  */
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
@@ -37,7 +37,7 @@
         this.store = store;
     }
 
-    /** The types by name, in the order of the cloud's reply; empty until they are known. */
+    /** The types by name, in the order of the cloud's response; empty until they are known. */
     public Map<String, MachineType> types() {
         return types;
     }
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Reads the types from the cloud and retries until a reply names some; until then the stored types are used. Each
-     * node calls this once.
+     * Reads the types from the cloud and retries until a response names some; until then the stored types are used.
+     * Each node calls this once.
      */
     public void start() {
         refresh(succeeded -> {
@@ -76,7 +76,8 @@
     /**
      * Reads the types from the cloud with a single request.
      *
-     * @param onResult called on the event loop; with true when the reply names types, which then replace the current ones
+     * @param onResult called on the event loop; with true when the response names types, which then replace the current
+     * ones
      */
     public void refresh(Consumer<Boolean> onResult) {
         http.call(
@@ -88,7 +89,7 @@
                 reply -> onResult.accept(reply.ok() && replaceTypes(Json.read(reply.body()))));
     }
 
-    /** Replaces the types by those in the reply; returns false and keeps the current types when it names none. */
+    /** Replaces the types by those in the response; returns false and keeps the current types when it names none. */
     private boolean replaceTypes(JsonNode reply) {
         Map<String, MachineType> newTypes = MachineTypeCodec.parse(reply);
         if (newTypes.isEmpty()) {
@@ -104,8 +105,8 @@
     }
 
     /**
-     * Stores the reply, unless one is stored already, for nodes that start while the cloud is unreachable. It needs no
-     * update: only the prices in it change.
+     * Stores the response, unless one is stored already, for nodes that start while the cloud is unreachable. It needs
+     * no update: only the prices in it change.
      */
     private void writeToStore(JsonNode reply) {
         Transaction transaction = new Transaction().requireVersion(KEY, 0).put(KEY, reply);
--- a/src/main/java/org/spoolline/cluster/MachineTypeCodec.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCodec.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decodes machine types from the cloud's reply, which is stored unchanged. No other class depends on its fields. */
+/** Decodes machine types from the cloud's response, which is stored unchanged. No other class depends on its fields. */
 final class MachineTypeCodec {
     private MachineTypeCodec() {}
 
-    /** The types by name, in the order of the reply; empty when it contains no machine types. */
+    /** The types by name, in the order of the response; empty when it contains no machine types. */
     static Map<String, MachineType> parse(JsonNode reply) {
         Map<String, MachineType> types = new LinkedHashMap<>();
         for (JsonNode type : reply.path("builds")) {
--- a/src/main/java/org/spoolline/config/Constants.java
+++ b/src/main/java/org/spoolline/config/Constants.java
@@ -49,7 +49,9 @@
         public static final int SOCKETS_NEEDED = 100;
         /** Maximum wait in ms for a known leader before users and workers are served: more than an election takes. */
         public static final long LEADER_DISCOVERY_TIMEOUT_MS = 1_500;
-        /** Heartbeats in the class archive's training run: enough to place, launch, complete and close a job. */
+        /**
+         * Heartbeats in the training run for the class data archive: enough to place, launch, complete and close a job.
+         */
         public static final int TRAINING_HEARTBEATS = 12;
     }
 
@@ -210,7 +212,7 @@
         /** Delay in ms of a scheduling cycle above which the event loop counts as overloaded. */
         public static final long CYCLE_LATE_MS = 100;
         /**
-         * Maximum time in ms for which task completions of a job array are batched into one write while the store's
+         * Maximum time in ms for which task completions of an array job are batched into one write while the store's
          * rate limit is nearly exhausted.
          */
         public static final long COMPLETIONS_WAIT_MS = 1_000;
@@ -329,8 +331,8 @@
         /** Cached jobs of a node: terminal states, which then need no request, and times of status polls. */
         public static final int JOB_CACHE_SIZE = 4_096;
         /**
-         * Time in ms after a status response in which other jobs' polls get the last requests under the rate limit:
-         * half of the 75 s that a poll may wait.
+         * Time in ms after a status response for which further polls of the same job are rejected while few requests
+         * are left, in favour of polls of other jobs: half of the 75 s that a poll may wait.
          */
         public static final long STATUS_LOW_PRIORITY_MS = 40_000;
         /** Time in ms for which status polls are batched into one request while few requests are left. */
@@ -353,7 +355,7 @@
         public static final int SCALE_OUT_BATCH_MAX = 50;
         /** Maximum number of machines in a scale-in request, set by the protocol. */
         public static final int SCALE_IN_BATCH_MAX = 100;
-        /** Time in ms that an idle machine is kept: enough to place work that was just released or accepted. */
+        /** Time in ms that an idle machine is kept: enough to place work that has just become eligible. */
         public static final long IDLE_MS = 6_000;
         /** Time in ms that an idle spot machine is kept: its price is low, and the cloud may have no other later. */
         public static final long IDLE_SPOT_MS = 20_000;
--- a/src/main/java/org/spoolline/config/OperatorSettings.java
+++ b/src/main/java/org/spoolline/config/OperatorSettings.java
@@ -10,7 +10,7 @@
 
 /**
  * Settings that operators may change in an XML file of their own, in addition to the platform's settings file. None of
- * them affects safety: they are waiting times and no lease durations.
+ * them affects safety: they are waiting times, not lease durations.
  *
  * @param idleMs      time in ms for which an idle on-demand machine is kept
  * @param idleSpotMs  time in ms for which an idle spot machine is kept
--- a/src/main/java/org/spoolline/config/SettingsDefaults.java
+++ b/src/main/java/org/spoolline/config/SettingsDefaults.java
@@ -14,7 +14,10 @@
     static final int TRANSACTION_WRITES = 2;
     /** Heartbeats per worker lease: the longest heartbeat interval at which a lease survives a lost heartbeat. */
     static final int HEARTBEATS_PER_LEASE = 3;
-    /** Time in ms for which a gang's tasks wait for one another: short, so that few incomplete gangs are completed. */
+    /**
+     * Time in ms for which a gang's tasks wait for one another: short, so that members are rarely added to a partly
+     * placed gang.
+     */
     static final long GANG_WAIT_MS = 10_000;
     /** Time in ms within which a gang's tasks detect the loss of a member; the controller does not use it. */
     static final long GANG_PEER_MS = 1_000;
--- a/src/main/java/org/spoolline/election/Campaign.java
+++ b/src/main/java/org/spoolline/election/Campaign.java
@@ -24,8 +24,8 @@
         void lost();
 
         /**
-         * The store rejected the election transaction or did not answer it. It may still have been applied: the leader
-         * key then names this node, but no node acts as the leader.
+         * The store rejected the election transaction or did not respond to it. It may still have been applied: the
+         * leader key then names this node, but no node acts as the leader.
          */
         void outcomeUnknown();
 
@@ -39,7 +39,7 @@
      * @param token the fencing token of the term
      * @param leaderKeyVersion the version of the leader key, which every write of this leader requires
      * @param leaseId the lease that the leader key is attached to
-     * @param leaseRequestSentAt when the request that created the lease was sent, in ms of the event loop's time
+     * @param leaseRequestSentAt when the request that created the lease was sent, in ms of the event loop's clock
      */
     record Term(long token, long leaderKeyVersion, long leaseId, long leaseRequestSentAt) {}
 
--- a/src/main/java/org/spoolline/election/LeaderKeyObserver.java
+++ b/src/main/java/org/spoolline/election/LeaderKeyObserver.java
@@ -124,7 +124,7 @@
      *
      * <p>This is safe even if the earlier process is still running. The campaign overwrites only the version that was
      * read. After that the store rejects the earlier process's writes because of the new version, and workers reject
-     * its orders because of the higher fencing token. Answers that it may still send are covered by the same wait as
+     * its orders because of the higher fencing token. Responses that it may still send are covered by the same wait as
      * those of any other former leader (docs/design.md, "Leadership").
      */
     private boolean mayReplace(LeaderKeyCodec.LeaderRecord leader) {
--- a/src/main/java/org/spoolline/election/LeaseKeeper.java
+++ b/src/main/java/org/spoolline/election/LeaseKeeper.java
@@ -30,7 +30,7 @@
     /**
      * Creates a keeper, which renews nothing before {@link #start}.
      *
-     * @param sentAt when the request that created the lease was sent, in ms of the event loop's time
+     * @param sentAt when the request that created the lease was sent, in ms of the event loop's clock
      * @param onExpired runs when the store responds that the lease no longer exists
      */
     LeaseKeeper(
--- a/src/main/java/org/spoolline/election/StalenessBound.java
+++ b/src/main/java/org/spoolline/election/StalenessBound.java
@@ -8,8 +8,8 @@
  *
  * <p>The view is complete as of a time t when it contains every change that was committed before t. Renewing the
  * leadership lease does not advance t, since another node may have confirmed cancellations that the view does not
- * contain yet. An election or the end of an outage does not advance it either. Only {@link #viewCompleteAsOf} does, with
- * the time at which this node <em>sent</em> a request for the jobs that the store has answered.
+ * contain yet. An election or the end of an outage does not advance it either. Only {@link #viewCompleteAsOf} does,
+ * with the time at which this node <em>sent</em> a request for the jobs that the store has answered.
  *
  * <p>Invariant: no task runs longer than {@code cancel_s} after the cancellation of its job was confirmed. If the view
  * lacks the cancellation, t is before the confirmation. From such a view the leader renews workers' leases until
@@ -41,7 +41,7 @@
     /**
      * Records that the view contains every change that was committed before {@code sentAt}.
      *
-     * @param sentAt when the request for the jobs was sent that is now answered, in ms of the event loop's time
+     * @param sentAt when the request for the jobs was sent that is now answered, in ms of the event loop's clock
      */
     public void viewCompleteAsOf(long sentAt) {
         viewCompleteAsOf = Math.max(viewCompleteAsOf, sentAt);
--- a/src/main/java/org/spoolline/job/JobEntry.java
+++ b/src/main/java/org/spoolline/job/JobEntry.java
@@ -15,7 +15,7 @@
     private Pipeline committed;
     private long version;
     private Pipeline proposed;
-    /** The newest watch event that was received while a write was in flight, or null. */
+    /** The newest watch event that was received while a write was in flight; null if there is none. */
     private WatchEvent deferred;
 
     private boolean cancellationObserved;
@@ -68,7 +68,7 @@
     }
 
     /**
-     * True once a cancellation is known from any source. A cancellation is never undone, so it takes effect even
+     * True once a cancellation is known from any source. A cancellation is never reverted, so it takes effect even
      * while another value is being written.
      */
     public boolean cancelled() {
--- a/src/main/java/org/spoolline/job/JobReader.java
+++ b/src/main/java/org/spoolline/job/JobReader.java
@@ -15,7 +15,7 @@
     public enum Failure {
         /** This node has currently used up its share of the store's rate limit. */
         RATE_LIMITED,
-        /** The store did not answer, or its answer can't be used. */
+        /** The store did not respond, or its response can't be used. */
         STORE_UNREACHABLE
     }
 
--- a/src/main/java/org/spoolline/job/JobTable.java
+++ b/src/main/java/org/spoolline/job/JobTable.java
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Records a cancellation that was confirmed to a user. This leader may observe the cancelled value later, or
-     * never.
+     * Records a cancellation that was confirmed to a user. The table is updated directly because this leader may
+     * observe the cancelled value much later or never.
      */
     public void markCancelled(String jobId) {
         JobEntry entry = entries.get(jobId);
--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
@@ -13,9 +13,9 @@
  * Client of the consensus-backed key-value store. Enforces this node's share of the store's rate limits.
  *
  * <p>All methods must be called on the event loop. Each callback runs on it exactly once, whether or not the store
- * responds. The client retries nothing. Unless a method says otherwise, the caller must first acquire the request from
- * the rate limits: with {@link #tryAcquire} for deferrable work, with {@link #acquireWithDebt} for requests that
- * leadership depends on.
+ * responds. The client retries nothing. Unless a method says otherwise, the caller must first acquire the permits for
+ * the request: with {@link #tryAcquire} for deferrable work, with {@link #acquireWithDebt} for requests that leadership
+ * depends on.
  */
 public final class KeyValueStoreClient {
     /**
@@ -59,14 +59,17 @@
     }
 
     /**
-     * Acquires one request with that many writes; returns false and acquires nothing if the rate limits do not allow
-     * it.
+     * Acquires permits for one request with that many writes; returns false and acquires none if the rate limits do not
+     * allow it.
      */
     public boolean tryAcquire(int writes) {
         return rateLimits.tryAcquire(writes);
     }
 
-    /** Acquires one request with that many writes, going into debt if necessary: for requests that leadership needs. */
+    /**
+     * Acquires permits for one request with that many writes, going into debt if necessary: for requests that
+     * leadership needs.
+     */
     public void acquireWithDebt(int writes) {
         rateLimits.acquireWithDebt(writes);
     }
@@ -92,7 +95,7 @@
     }
 
     /**
-     * Sends a read if no recent request has shown that the store is reachable. Acquires the request itself, with debt.
+     * Sends a read if no recent request has shown that the store is reachable. Acquires its permit itself, with debt.
      */
     public void probe() {
         if (connection.probeDue()) {
@@ -113,7 +116,7 @@
 
     /**
      * Reads all keys with a prefix, page by page. If one page gets no success response, the whole listing fails.
-     * Acquires its requests itself, with debt.
+     * Acquires its permits itself, with debt.
      */
     public void list(String prefix, Consumer<ListResult> onResult) {
         listFrom(prefix, "", new ArrayList<>(), 0, onResult);
@@ -188,7 +191,7 @@
                 reply -> onResult.accept(KeyValueStoreCodec.decodeLease(reply)));
     }
 
-    /** Renews a lease for its full time to live. Acquires its request itself, with debt. */
+    /** Renews a lease for its full time to live. Acquires its permit itself, with debt. */
     public void renewLease(long leaseId, Consumer<LeaseRenewal> onResult) {
         acquireWithDebt(0);
         connection.send(
--- a/src/main/java/org/spoolline/kvstore/LatencyLog.java
+++ b/src/main/java/org/spoolline/kvstore/LatencyLog.java
@@ -7,8 +7,8 @@
 import org.spoolline.net.Http;
 
 /**
- * Logs the response latency of the key-value store once a minute, since that is the first figure to check in an
- * incident. Watches are not recorded: the store delays their responses on purpose.
+ * Logs the response latency of the key-value store once a minute, since operators check it first in an incident.
+ * Watches are not recorded: the store delays their responses on purpose.
  */
 final class LatencyLog {
     private static final Logger LOG = LoggerFactory.getLogger(LatencyLog.class);
--- a/src/main/java/org/spoolline/kvstore/ReadResult.java
+++ b/src/main/java/org/spoolline/kvstore/ReadResult.java
@@ -17,7 +17,7 @@
         return new ReadResult(value);
     }
 
-    /** Result of a read that the store refused or did not answer in time; the state of the key is unknown. */
+    /** Result of a read that the store refused or did not respond to in time; the state of the key is unknown. */
     static ReadResult noAnswer() {
         return NO_ANSWER;
     }
--- a/src/main/java/org/spoolline/kvstore/StoreRateLimits.java
+++ b/src/main/java/org/spoolline/kvstore/StoreRateLimits.java
@@ -84,7 +84,10 @@
                 : Math.min(Constants.Store.FOLLOWER_REQUEST_SHARE, 1.0 / (controllers - 1));
     }
 
-    /** Acquires one request with that many writes; returns false and acquires nothing if the limits do not allow it. */
+    /**
+     * Acquires permits for one request with that many writes; returns false and acquires none if the limits do not
+     * allow it.
+     */
     boolean tryAcquire(int writeCount) {
         long now = loop.now();
         if (requests.available(now) < 1 + reservedRequests || writes.available(now) < writeCount) {
@@ -95,13 +98,16 @@
         return true;
     }
 
-    /** Acquires one request with that many writes, going into debt if necessary. */
+    /** Acquires permits for one request with that many writes, going into debt if necessary. */
     void acquireWithDebt(int writeCount) {
         requests.acquireWithDebt(1, loop.now());
         writes.acquireWithDebt(writeCount, loop.now());
     }
 
-    /** Acquires one request without writes, going into debt if necessary. The limiter of writes does not change. */
+    /**
+     * Acquires a permit for one request without writes, going into debt if necessary. The limiter of writes does not
+     * change.
+     */
     void acquireReadWithDebt() {
         requests.acquireWithDebt(1, loop.now());
     }
--- a/src/main/java/org/spoolline/metrics/Event.java
+++ b/src/main/java/org/spoolline/metrics/Event.java
@@ -50,7 +50,7 @@
     CYCLE_SKIPPED_LEASE_EXPIRED,
     /** A scheduling cycle ended with an exception. */
     CYCLE_FAILED,
-    /** The planning step of a cycle failed; the cycle still wrote the ends of tasks. */
+    /** The planning step of a cycle failed; the cycle still recorded the tasks that have ended. */
     PLAN_FAILED,
     /** A task was placed; its launch is ordered once the placement is stored. */
     TASK_PLACED,
--- a/src/main/java/org/spoolline/metrics/StallMonitor.java
+++ b/src/main/java/org/spoolline/metrics/StallMonitor.java
@@ -8,8 +8,8 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Detects that the leader places no task while jobs wait, and logs the reason as far as the leader knows it. The method
- * {@link #check} must be called regularly. It inspects the situation only if no task has been placed for
+ * Detects that the leader places no task while jobs wait, and logs the reason as far as the leader's own state shows
+ * it. The method {@link #check} must be called regularly. It inspects the situation only if no task has been placed for
  * {@link Constants.Logging#STALL_MS}, and at most once per such period.
  */
 public final class StallMonitor {
@@ -58,7 +58,7 @@
         beginTerm();
     }
 
-    /** Starts a term of leadership: the stall time starts again and the last situation is discarded. */
+    /** Starts a term: the stall time starts from zero and the last situation is discarded. */
     public void beginTerm() {
         lastPlacementAt = loop.now();
         lastInspectedAt = loop.now();
--- a/src/main/java/org/spoolline/net/UndertowCall.java
+++ b/src/main/java/org/spoolline/net/UndertowCall.java
@@ -18,7 +18,7 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One outgoing request and its response. A step that would block is resumed by a callback on the event loop. The first
+ * One outgoing request and its response. A step that would block continues in a callback on the event loop. The first
  * of response, failure and timeout ends the call; later ones are ignored.
  */
 final class UndertowCall {
--- a/src/main/java/org/spoolline/peer/PeerService.java
+++ b/src/main/java/org/spoolline/peer/PeerService.java
@@ -14,7 +14,7 @@
 /**
  * Exchanges messages with the other controllers. From their statuses this node can distinguish an outage of the
  * key-value store from a network failure that affects only itself, and learns of higher fencing tokens. While only this
- * node cannot reach the store, it forwards users' requests to a peer, which commits and answers them.
+ * node cannot reach the store, it forwards users' requests to a peer, which processes them and returns the responses.
  *
  * <p>All methods are called on the event loop.
  */
@@ -42,7 +42,7 @@
         void jobCancelled(String jobId);
     }
 
-    /** The last status of a peer, and when it was received, in ms of the event loop's time. */
+    /** The last status of a peer, and when it was received, in ms of the event loop's clock. */
     private record ReceivedStatus(PeerStatus status, long receivedAt) {}
 
     private final EventLoop loop;
--- a/src/main/java/org/spoolline/pipeline/Attempt.java
+++ b/src/main/java/org/spoolline/pipeline/Attempt.java
@@ -2,7 +2,7 @@
 
 /**
  * One execution of a task on a machine. The pipeline's stored value lists the attempt before the launch is sent to the
- * machine, and drops it only on proof that the attempt has terminated.
+ * machine, and removes it only on proof that the attempt has ended.
  *
  * @param task        the task's index within the job, from 0
  * @param number      the attempt's number, which increases with each further attempt of the same task
@@ -11,9 +11,9 @@
  */
 public record Attempt(int task, long number, String machine, long incarnation) {
     /**
-     * Implemented by hand, as in the other records that are used as hash keys. The JVM links the generated methods of
-     * a record at their first call, with classes that it creates at that point and that a class data sharing archive
-     * can't contain. For the few records that are compared often, this took 80 ms of processor time after each start.
+     * Implemented by hand, as in the other records that are used as hash keys. The JVM links the generated methods of a
+     * record at their first call, with classes that it creates at that point and that a class data archive can't
+     * contain. For the few records that are compared often, this took 80 ms of processor time after each start.
      */
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/org/spoolline/pipeline/CheckpointPolicy.java
+++ b/src/main/java/org/spoolline/pipeline/CheckpointPolicy.java
@@ -7,7 +7,9 @@
  * @param saveS     seconds that saving a checkpoint takes
  */
 public record CheckpointPolicy(double intervalS, double saveS) {
-    /** Added to the time for saving a checkpoint, so that a stopped task can save one and then exit by itself. */
+    /**
+     * Seconds added to the time for saving a checkpoint, so that a stopped task can save one and then exit by itself.
+     */
     private static final double STOP_MARGIN_S = 1;
 
     /** True if the tasks save a checkpoint when they are stopped with a sufficient grace period. */
--- a/src/main/java/org/spoolline/pipeline/MachineName.java
+++ b/src/main/java/org/spoolline/pipeline/MachineName.java
@@ -9,7 +9,7 @@
  * @param number the number; 0 if the name doesn't end in a digit
  */
 record MachineName(String prefix, int digits, int number) {
-    /** Every number of so many digits fits an int. */
+    /** Every number with this many digits fits in an int. */
     private static final int MAX_DIGITS = 9;
 
     /** Splits a name into its parts; {@link #format} restores the name from them. */
--- a/src/main/java/org/spoolline/pipeline/TaskAttempts.java
+++ b/src/main/java/org/spoolline/pipeline/TaskAttempts.java
@@ -17,7 +17,7 @@
     private final Int2ObjectHashMap<Attempt> byTask;
     /** Upper bound (inclusive) of the attempts' numbers; 0 until the first task is placed. */
     private long highestNumber;
-    /** Number of attempts of a cancelled job whose value has no room to list them. */
+    /** Number of attempts of a cancelled job whose value has no space to list them. */
     private int unlisted;
 
     /** Creates the attempts of a job that has none now and has used numbers up to {@code highestNumber}. */
--- a/src/main/java/org/spoolline/pipeline/TaskJoin.java
+++ b/src/main/java/org/spoolline/pipeline/TaskJoin.java
@@ -90,7 +90,7 @@
         return base64Length(windowLength) - base64Length(window.length());
     }
 
-    /** Number of characters that so many bits take in Base64 without padding. */
+    /** Number of characters that this many bits take in Base64 without padding. */
     private static int base64Length(int bits) {
         int bytes = (bits + Byte.SIZE - 1) / Byte.SIZE;
         return (bytes * 4 + 2) / 3;
--- a/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/AttemptReconciler.java
@@ -19,8 +19,8 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Updates single jobs by what is proven about their attempts, and determines which attempts are to be stopped:
- * members of gangs that have lost a member, attempts on machines that are about to be interrupted or returned, and
+ * Updates single jobs by what is proven about their attempts, and determines which attempts are to be stopped: members
+ * of gangs that have lost a member, attempts on machines that the cloud is about to reclaim or that are evacuated, and
  * preempted attempts.
  *
  * <p>All methods are called on the event loop, between {@link #beginTerm} and {@link #endTerm}.
@@ -39,8 +39,8 @@
 
     private TerminationProof terminationProof;
     /**
-     * When this leader first observed the cancelled value of a job with unlisted attempts, in ms of the loop's clock,
-     * by job id.
+     * When this leader first observed the cancelled value of a job with unlisted attempts, in ms of the event loop's
+     * clock, by job id.
      */
     private final Map<String, Long> unlistedObservedAt = new HashMap<>();
 
@@ -65,16 +65,13 @@
         this.gangs = new GangReconciler(loop, machines, new TaskPhases(machines), stops, orders);
     }
 
-    /**
-     * Starts a leadership term and discards the state of the previous one. The proof is used for all attempts of the
-     * term.
-     */
+    /** Starts a term and discards the state of the previous one. The proof is used for all attempts of the term. */
     public void beginTerm(TerminationProof proof) {
         endTerm();
         terminationProof = proof;
     }
 
-    /** Ends the leadership term and discards all stop requests. */
+    /** Ends the term and discards all stop requests. */
     public void endTerm() {
         stops.clear();
         unlistedObservedAt.clear();
@@ -197,9 +194,9 @@
     }
 
     /**
-     * Requests the stop of an attempt if the cloud is about to interrupt its machine or the machine is being
-     * evacuated. An attempt that has started and can't save a checkpoint is left running, since an early stop would
-     * only lose its progress.
+     * Requests the stop of an attempt if the cloud is about to reclaim its machine or the machine is being evacuated.
+     * An attempt that has started and can't save a checkpoint is left running, since an early stop would only lose its
+     * progress.
      *
      * @return true when the stop was requested
      */
--- a/src/main/java/org/spoolline/reconcile/GangReconciler.java
+++ b/src/main/java/org/spoolline/reconcile/GangReconciler.java
@@ -29,8 +29,8 @@
 
     /**
      * Requests the stop of all members if the gang has lost a member after its start or if the stop of any member is
-     * requested. The gang is placed again once all members are proven to have terminated; those that are proven
-     * absent from their machines are removed here.
+     * requested. The gang is placed again once all members are proven to have ended; those that are proven absent from
+     * their machines are removed here.
      */
     void reconcile(DraftPipeline draft, TerminationProof proof) {
         Pipeline gang = draft.current();
--- a/src/main/java/org/spoolline/reconcile/TerminationProof.java
+++ b/src/main/java/org/spoolline/reconcile/TerminationProof.java
@@ -7,11 +7,11 @@
 import org.spoolline.pipeline.AttemptId;
 
 /**
- * Determines whether an attempt is proven to have ended on its machine. No other class may conclude that an attempt
- * has ended. There are five proofs, numbered as in docs/design.md:
+ * Determines whether an attempt is proven to have ended on its machine. No other class may conclude that an attempt has
+ * ended. There are five proofs, numbered as in docs/design.md:
  *
  * <ol>
- * <li>the machine's last heartbeat shows a fencing token of the current leadership and is of another incarnation than
+ * <li>the machine's last heartbeat shows a fencing token of the current term and is of another incarnation than
  *     the attempt;
  * <li>the last heartbeat shows such a token, is of the attempt's incarnation, and lists the attempt as exited;
  * <li>the last heartbeat shows such a token, is of the attempt's incarnation, does not list the attempt, and no
@@ -21,8 +21,8 @@
  *     incarnation, and no first heartbeat of that incarnation has arrived.
  * </ol>
  *
- * Any other observation, such as a refused connection, proves nothing. An instance applies to one leadership, is
- * immutable and is used on the event loop only.
+ * Any other observation, such as a refused connection, proves nothing. An instance applies to one term, is immutable
+ * and is used on the event loop only.
  */
 public final class TerminationProof {
     /** What is proven about an attempt. */
@@ -80,11 +80,11 @@
     private final long leaseExpiryMs;
 
     /**
-     * Creates the proofs of one leadership.
+     * Creates the proofs of one term.
      *
-     * @param token the lowest fencing token that the leadership sends to workers
+     * @param token the lowest fencing token that the leader of the term sends to workers
      * @param formerLeadersMayRenewUntil the latest time at which a former leader can have renewed a worker's lease,
-     *     in ms of the loop's clock
+     *     in ms of the event loop's clock
      * @param leaseExpiryMs ms after its last lease renewal by which a worker has ended all its tasks
      */
     public TerminationProof(long token, long formerLeadersMayRenewUntil, long leaseExpiryMs) {
@@ -97,7 +97,7 @@
      * Returns what is proven about the attempt of the job.
      *
      * @param machine the attempt's machine, or null when this leader does not know it
-     * @param now the current time in ms of the loop's clock
+     * @param now the current time in ms of the event loop's clock
      */
     public Assessment assess(String jobId, Attempt attempt, Machine machine, long now) {
         if (machine == null) {
--- a/src/main/java/org/spoolline/scheduler/ArrayPreemption.java
+++ b/src/main/java/org/spoolline/scheduler/ArrayPreemption.java
@@ -9,7 +9,7 @@
 import org.spoolline.pipeline.Pipeline;
 import org.spoolline.pipeline.Submission;
 
-/** Selects the tasks with checkpoints to evict for an array that is within its team's guaranteed share. */
+/** Selects the tasks with checkpoints to evict for an array job that is within its team's guaranteed share. */
 final class ArrayPreemption {
     private final ClusterSnapshot snapshot;
     private final List<SchedulableMachine> machines;
--- a/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
+++ b/src/main/java/org/spoolline/scheduler/ClusterSnapshot.java
@@ -22,12 +22,12 @@
  * @param machinesByName         all known machines by name, including those that accept no launches
  * @param schedulableMachines    machines that currently accept launches
  * @param reservedJobsByMachine  by machine name: the id of the job that the machine is reserved for
- * @param gangsPreemptedForImage ids of the gangs for which machines with their image have been cleared; this is done at
- *                               most once for each gang
+ * @param gangsPreemptedForImage ids of the gangs for which machines with their image have been cleared by preemption,
+ * at most once for each gang
  * @param inheritedPriorities    by job id, for jobs with dependents: the highest priority among the dependents
  * @param machineTypes           machine types by name
  * @param mayConsolidate         true when enough time has passed since the last consolidation for its tasks to move
- * @param timeOfDay              wall-clock time in ms, comparable with the times of jobs
+ * @param timeOfDay              time of day in ms, comparable with the times of jobs
  * @param now                    the event loop's monotonic clock in ms, comparable with the times of machines
  */
 record ClusterSnapshot(
--- a/src/main/java/org/spoolline/scheduler/DependencyTracker.java
+++ b/src/main/java/org/spoolline/scheduler/DependencyTracker.java
@@ -25,17 +25,17 @@
  * The leader's view of the dependencies between jobs. Each cycle derives it from the live jobs and from the terminal
  * records of their dependencies; it is not stored.
  *
- * <p>A job is released only by terminal records that this leader read from the key-value store or whose write the store
- * confirmed. Terminal records never change, so a release remains valid after a failover.
+ * <p>A dependency counts as satisfied only by a terminal record that this leader read from the key-value store or whose
+ * write the store confirmed. Terminal records never change, so the dependency remains satisfied after a failover.
  */
 final class DependencyTracker {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
 
     /** Combined state of the dependencies of a job that waits for them. */
     enum Status {
-        /** The outcome of at least one dependency is not known yet; the job remains waiting. */
+        /** The outcome of at least one dependency is not known yet; the job keeps waiting. */
         UNSATISFIED,
-        /** All dependencies are done; the job is released. */
+        /** All dependencies are done; the tasks of the job may start. */
         SATISFIED,
         /**
          * At least one dependency was cancelled, by a user or because of its own dependencies; the job is cancelled.
--- a/src/main/java/org/spoolline/scheduler/MachineSelector.java
+++ b/src/main/java/org/spoolline/scheduler/MachineSelector.java
@@ -134,7 +134,7 @@
         return inZone;
     }
 
-    /** Fills the candidates in order; for a job spread across zones, within its limit of tasks for each zone. */
+    /** Allocates on the candidates in order; for a job spread across zones, up to its limit of tasks in each zone. */
     private List<SchedulableMachine> allocateInOrder(Pipeline job, List<SchedulableMachine> candidates, int count) {
         Submission spec = job.spec();
         Map<String, Integer> tasksByZone = new HashMap<>();
--- a/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PlacementPlanner.java
@@ -120,8 +120,8 @@
     }
 
     /**
-     * True for a starving gang that has been eligible for less than
-     * {@link Constants.Placement#CAPACITY_ACCUMULATION_UNTIL_MS}: by then, other jobs have waited for it long enough.
+     * True for a starving gang that has been eligible for less than {@link
+     * Constants.Placement#CAPACITY_ACCUMULATION_UNTIL_MS}: after that time, other jobs have waited for it long enough.
      */
     private boolean mayAccumulateCapacity(Pipeline job) {
         return job.spec().gang()
@@ -161,7 +161,7 @@
     private int launchLimit(Pipeline job) {
         Submission spec = job.spec();
         int headroom = teamsWithLaunchesPaused.contains(spec.team()) ? 0 : fairShares.headroom(spec);
-        // A single launch ends the starvation of an array, which has its regular place in the order afterwards.
+        // A single launch ends the starvation of an array job, which is placed in the regular order afterwards.
         int tasks = isStarving(job) && !spec.gang() ? 1 : job.unplacedTaskCount();
         return Math.min(tasks, headroom);
     }
--- a/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
@@ -84,7 +84,7 @@
             return false;
         }
         if (isUrgentGang(job)) {
-            // Preemption clears machines for all tasks of a gang, which is too many for a partly placed one.
+            // Preemption clears machines for all tasks of a gang; a partly placed gang needs fewer.
             return job.attempts().isEmpty();
         }
         return !job.spec().gang() && demand.withinFairShare();
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -24,7 +24,10 @@
     private final EventLoop loop;
     private final JobTable jobs;
     private final Map<String, Reservation> byJob = new LinkedHashMap<>();
-    /** Gangs for which machines with their image have been cleared: at most once each, so that none waits for long. */
+    /**
+     * Gangs for which machines with their image have been cleared by preemption: at most once each, so that no gang
+     * waits long for such machines.
+     */
     private final Set<String> gangsPreemptedForImage = new HashSet<>();
 
     /** A job's reserved machines, the evictions that clear them, and the time at which the reservation expires. */
--- a/src/main/java/org/spoolline/scheduler/StallInspector.java
+++ b/src/main/java/org/spoolline/scheduler/StallInspector.java
@@ -13,8 +13,8 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * Determines why a leader places no tasks, as far as it knows. It iterates over all jobs and machines, so callers run
- * it rarely.
+ * Determines why this leader places no tasks, as far as its own state shows. It iterates over all jobs and machines, so
+ * callers run it rarely.
  */
 final class StallInspector {
     private final LeaderElection election;
--- a/src/main/java/org/spoolline/scheduler/Victims.java
+++ b/src/main/java/org/spoolline/scheduler/Victims.java
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Excludes gangs of several members, which would all be lost for the capacity of one, and cancelled jobs, whose
+     * Excludes gangs of several members, since preempting one member loses the work of all, and cancelled jobs, whose
      * attempts stop anyway.
      */
     private static boolean isPreemptible(Pipeline job) {
--- a/src/main/java/org/spoolline/scheduler/WriteOrder.java
+++ b/src/main/java/org/spoolline/scheduler/WriteOrder.java
@@ -23,7 +23,7 @@
     private final EventLoop loop;
     private final KeyValueStoreClient store;
     private final RefusedWrites refusedWrites;
-    /** Time at which each job started to wait for its write, by job id, in ms of the clock of the event loop. */
+    /** Time at which each job started to wait for its write, by job id, in ms of the event loop's clock. */
     private final Map<String, Long> pendingSince = new HashMap<>();
 
     WriteOrder(EventLoop loop, KeyValueStoreClient store, RefusedWrites refusedWrites) {
@@ -37,7 +37,7 @@
         pendingSince.clear();
     }
 
-    /** Records that the job's write was sent; the waiting time of its next write starts anew. */
+    /** Records that the job's write was sent; the waiting time of its next write starts from zero. */
     void markSent(String jobId) {
         pendingSince.remove(jobId);
     }
--- a/src/main/java/org/spoolline/scheduler/WriteRank.java
+++ b/src/main/java/org/spoolline/scheduler/WriteRank.java
@@ -10,7 +10,7 @@
     TERMINAL,
     /** Launches tasks of a job of a lower priority. */
     LAUNCHES,
-    /** Only records that tasks have ended. It can wait, so that several completions of a wide array share one write. */
+    /** Only records that tasks have ended. It can wait, so that several completions of an array job share one write. */
     COMPLETIONS_ONLY,
     /** The last write of the job conflicted or was rejected. It is sent last, so that it does not delay other jobs. */
     ISOLATED
--- a/src/main/java/org/spoolline/upgrade/VersionRegistry.java
+++ b/src/main/java/org/spoolline/upgrade/VersionRegistry.java
@@ -34,7 +34,7 @@
         ALL_UPGRADED,
         /** At least one controller has no record yet, so it may run an earlier version. */
         NOT_ALL_RECORDED,
-        /** The key-value store did not answer. */
+        /** The key-value store did not respond. */
         UNKNOWN
     }
 
@@ -51,7 +51,7 @@
         this.settings = settings;
     }
 
-    /** Adds this node's record unless an earlier process has added it; retries until the store has processed this. */
+    /** Adds this node's record unless an earlier process has added it; retries until the record is known to exist. */
     public void recordThisController() {
         String key = KEY_PREFIX + settings.node();
         store.acquireWithDebt(1);
--- a/src/main/java/org/spoolline/upgrade/package-info.java
+++ b/src/main/java/org/spoolline/upgrade/package-info.java
@@ -1,2 +1,2 @@
-/** Rolling upgrades: which versions of the program may still run beside this one, and what they can read. */
+/** Rolling upgrades: which versions of the program may still run alongside this one, and what they can read. */
 package org.spoolline.upgrade;
--- a/src/main/java/org/spoolline/worker/HeartbeatService.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatService.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * True when a heartbeat has reached this node within the time after which heartbeats are regarded as missing. A
-     * heartbeat counts if this node accepts it, or if it is not the leader.
+     * True when a heartbeat has reached this node within the time after which heartbeats are regarded as missing. While
+     * this node is the leader, only accepted heartbeats count; otherwise every heartbeat does.
      */
     public boolean receivesHeartbeats() {
         return loop.now() - lastHeartbeatAt < settings.heartbeatsMissingMs();
@@ -97,7 +97,7 @@
         heartbeatResponder.enableOrders();
     }
 
-    /** Excludes orders from responses until {@link #enableOrders}; called when a leadership term begins or ends. */
+    /** Excludes orders from responses until {@link #enableOrders}; called when a term begins or ends. */
     public void disableOrders() {
         heartbeatResponder.disableOrders();
     }
@@ -123,7 +123,7 @@
         handleAsLeader(heartbeat.get(), responder);
     }
 
-    /** Sends all held responses; called once all values of the scheduling cycles are written. */
+    /** Sends all held responses; called once the scheduling cycles have no write deferred or in flight. */
     public void sendHeldResponses() {
         heldResponses.sendAll();
     }
@@ -174,9 +174,8 @@
     /**
      * True when the worker is to check with the other controllers for a newer leader. A leader without contact to the
      * key-value store can't distinguish an outage of the store from a network partition that isolates only itself. A
-     * rejected worker asks the other controllers. If there is a newer leader, the worker switches to it without
-     * waiting until this leadership expires; if there is none, the worker sends its next heartbeat to this node
-     * again.
+     * rejected worker asks the other controllers. If there is a newer leader, the worker switches to it without waiting
+     * until this leader's lease expires; if there is none, the worker sends its next heartbeat to this node again.
      */
     private boolean shouldProbeForLeader(Machine machine) {
         return !election.hasValidLease()
--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -49,7 +49,7 @@
 
     /**
      * Stop orders for the attempts of jobs that are known to be cancelled. They are correct even if the view of the
-     * jobs is stale, because a cancellation is never undone.
+     * jobs is stale, because a cancellation is never reverted.
      */
     List<Order> stopsOfCancelledJobs(Machine machine) {
         List<Order> orders = new ArrayList<>();
--- a/src/main/java/org/spoolline/worker/PendingResponse.java
+++ b/src/main/java/org/spoolline/worker/PendingResponse.java
@@ -16,7 +16,8 @@
     private final Consumer<Http.Response> responder;
 
     /**
-     * Creates the response to the machine's last heartbeat, received at {@code receivedAt} in ms of the loop's clock.
+     * Creates the response to the machine's last heartbeat, received at {@code receivedAt} in ms of the event loop's
+     * clock.
      */
     PendingResponse(Machine machine, long receivedAt, Consumer<Http.Response> responder) {
         this.machine = machine;
@@ -31,7 +32,7 @@
         return machine;
     }
 
-    /** When the heartbeat was received, in ms of the loop's clock. */
+    /** When the heartbeat was received, in ms of the event loop's clock. */
     long receivedAt() {
         return receivedAt;
     }
