--- a/src/main/java/org/spoolline/net/XnioEventLoop.java
+++ b/src/main/java/org/spoolline/net/XnioEventLoop.java
@@ -34,11 +34,11 @@
 
     @Override
     public void after(long delayMs, Runnable task) {
-        Runnable guarded = () -> boundary.run("timer", task);
+        Runnable guardedTask = () -> boundary.run("timer", task);
         if (delayMs <= 0) {
-            thread.execute(guarded);
+            thread.execute(guardedTask);
         } else {
-            thread.executeAfter(guarded, delayMs, TimeUnit.MILLISECONDS);
+            thread.executeAfter(guardedTask, delayMs, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/ConsolidationPlanner.java
@@ -125,12 +125,12 @@
         Submission spec = task.spec();
         Machine machine = snapshot.machinesByName().get(task.attempt().machine());
         AttemptId attemptId = AttemptId.of(task.job().jobId(), task.attempt());
-        double ranS = machine.observedRunMs(attemptId, snapshot.now()) / 1000.0;
+        double runTimeS = machine.observedRunMs(attemptId, snapshot.now()) / 1000.0;
         return !spec.gang()
                 && spec.checkpoints()
                 && !task.job().cancelled()
-                && ranS >= Constants.Placement.CONSOLIDATION_MIN_RUN_S
-                && spec.estimateS() - ranS >= Constants.Placement.CONSOLIDATION_MIN_REMAINING_S;
+                && runTimeS >= Constants.Placement.CONSOLIDATION_MIN_RUN_S
+                && spec.estimateS() - runTimeS >= Constants.Placement.CONSOLIDATION_MIN_REMAINING_S;
     }
 
     /** Allocates capacity on the targets for all tasks of the source; false, without effect, when one does not fit. */
--- a/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
+++ b/src/main/java/org/spoolline/scheduler/TransactionCommitter.java
@@ -131,7 +131,7 @@
                 // The store lowered its limits after an earlier copy was sent. Whether that copy was applied can only
                 // be determined from the stored values.
                 inFlight--;
-                sent.writes().forEach(write -> reread(sent, write));
+                sent.writes().forEach(write -> readAgain(sent, write));
                 listener.outcomeKnown(false);
             }
             default -> handleOutcome(sent, result);
@@ -172,7 +172,7 @@
         }
         for (PendingWrite write : sent.writes()) {
             if (failedKeys.contains(JobKeys.live(write.jobId()))) {
-                reread(sent, write);
+                readAgain(sent, write);
             } else {
                 abandon(sent, write.entry(), CommitOutcome.CONFLICT);
             }
@@ -198,14 +198,14 @@
     }
 
     /** Reads the job's stored value to determine whether the write was applied; retries until the store responds. */
-    private void reread(SentTransaction sent, PendingWrite write) {
+    private void readAgain(SentTransaction sent, PendingWrite write) {
         store.acquireWithDebt(0);
         store.get(JobKeys.live(write.jobId()), read -> {
             if (term != sent.term()) {
                 return;
             }
             if (!read.answered()) {
-                runAfterRetryDelay(sent.term(), () -> reread(sent, write));
+                runAfterRetryDelay(sent.term(), () -> readAgain(sent, write));
                 return;
             }
             abandon(sent, write.entry(), CommitOutcome.CONFLICT);
--- a/src/main/java/org/spoolline/scheduler/Victim.java
+++ b/src/main/java/org/spoolline/scheduler/Victim.java
@@ -22,11 +22,11 @@
      */
     static Victim of(Pipeline job, Attempt attempt, Machine machine, long now) {
         Submission spec = job.spec();
-        double ranS = machine.observedRunMs(AttemptId.of(job.jobId(), attempt), now) / 1000.0;
-        double unsavedS = spec.workSinceCheckpointS(ranS);
-        boolean worthSaving = spec.checkpoints()
+        double runTimeS = machine.observedRunMs(AttemptId.of(job.jobId(), attempt), now) / 1000.0;
+        double unsavedS = spec.workSinceCheckpointS(runTimeS);
+        boolean savesCheckpoint = spec.checkpoints()
                 && unsavedS > Constants.Placement.CHECKPOINT_MIN_UNSAVED_FACTOR * spec.checkpointSaveS();
-        return worthSaving
+        return savesCheckpoint
                 ? new Victim(job, attempt, spec.cores() * spec.checkpointSaveS(), spec.stopGraceS())
                 : new Victim(job, attempt, spec.cores() * unsavedS, 0);
     }
--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -146,12 +146,12 @@
      * exceed it if the predecessor stopped between two writes.
      */
     private boolean isWithinTeamLimit(AttemptId attemptId) {
-        boolean within =
+        boolean withinLimit =
                 !quotas.exceeded(jobs.get(attemptId.jobId()).committed().spec().team());
-        if (!within) {
+        if (!withinLimit) {
             counters.count(Event.LAUNCH_WITHHELD_TEAM_LIMIT);
         }
-        return within;
+        return withinLimit;
     }
 
     /**
