--- a/src/main/java/org/spoolline/autoscaler/Autoscaler.java
+++ b/src/main/java/org/spoolline/autoscaler/Autoscaler.java
@@ -13,8 +13,8 @@
 
 /**
  * Adapts the number of machines to the demand while this node is the leader: reads the cloud's machine list, acquires
- * machines for tasks that lack capacity and releases machines that are idle, lost or failed. Confined to the event
- * loop.
+ * machines for tasks that lack capacity and releases machines that are idle, lost or failed. Used on the event loop
+ * only.
  */
 public final class Autoscaler {
     private final EventLoop loop;
--- a/src/main/java/org/spoolline/autoscaler/ReleasePolicy.java
+++ b/src/main/java/org/spoolline/autoscaler/ReleasePolicy.java
@@ -83,9 +83,9 @@
     }
 
     /**
-     * A machine with work is released only after the lease expiry: a worker that receives no responses has then lost
-     * its lease. A machine that never received a response of this leader can't confirm that its tasks have ended, so
-     * only its termination proves it.
+     * A machine with work is released only after the lease expiry: by then the lease of a worker that receives no
+     * responses has expired. A machine that never received a response of this leader can't confirm that its tasks have
+     * ended, so only its termination proves that they have.
      */
     private boolean isDownlinkUnreachable(Machine machine, boolean holdsWork) {
         long timeoutMs = holdsWork ? settings.leaseExpiryMs() : Constants.Autoscaling.MACHINE_LOST_MS;
--- a/src/main/java/org/spoolline/autoscaler/ScaleOut.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOut.java
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Sends the request. The response is processed even if the leadership lease has expired for a moment: otherwise the
+     * Sends the request. The response is processed even if the leadership lease has expired temporarily: otherwise the
      * offer would stay pending and never be requested again in this term.
      */
     private void request(ScaleOutPlanner.Offer offer, int count, String requestId) {
--- a/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
+++ b/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
@@ -25,7 +25,7 @@
 final class ClassArchiveTraining {
     private static final int TIMEOUT_S = 20;
     private static final long HEARTBEAT_INTERVAL_MS = 100;
-    /** Time in ms after which a watch is answered, as by a key-value store in which nothing changes. */
+    /** Time in ms after which the canned response to a watch is sent, as if no value had changed. */
     private static final long WATCH_MS = 500;
 
     private final CountDownLatch finished = new CountDownLatch(1);
--- a/src/main/java/org/spoolline/cli/NodeProcess.java
+++ b/src/main/java/org/spoolline/cli/NodeProcess.java
@@ -75,7 +75,8 @@
         try {
             network.server().listen(address, handler);
         } catch (IOException | RuntimeException e) {
-            // Catches every exception: a node that can't listen is unreachable and has to exit, whatever the cause.
+            // Catches every exception: a node that can't listen is unreachable and has to exit, regardless of the
+            // cause.
             Throwable cause = rootCause(e);
             boolean inUse = cause instanceof BindException;
             if (inUse && triesLeft > 1) {
--- a/src/main/java/org/spoolline/cli/ProcessExit.java
+++ b/src/main/java/org/spoolline/cli/ProcessExit.java
@@ -1,6 +1,6 @@
 package org.spoolline.cli;
 
-/** Exit codes, and the last line on standard error, which tells an operator why a process ended. */
+/** Exit codes, and the last line on standard error, which names the reason why a process ended. */
 final class ProcessExit {
     /** The node could not start, for example because an address is in use. */
     static final int CANNOT_START = 1;
--- a/src/main/java/org/spoolline/cluster/Downlink.java
+++ b/src/main/java/org/spoolline/cluster/Downlink.java
@@ -4,7 +4,7 @@
 
 /**
  * Detects whether the leader's responses reach a machine. A machine whose heartbeats arrive may still receive no
- * responses. Launches would not reach it, and its lease expires although each heartbeat is answered.
+ * responses. Launches do not reach such a machine, and its lease expires although the leader answers each heartbeat.
  */
 final class Downlink {
     private static final long NEVER = -1;
--- a/src/main/java/org/spoolline/cluster/Machine.java
+++ b/src/main/java/org/spoolline/cluster/Machine.java
@@ -139,7 +139,10 @@
         return downlink.lastResponseAt();
     }
 
-    /** True when heartbeats arrive from the machine but the responses don't reach it, so no launch would either. */
+    /**
+     * True when heartbeats arrive from the machine but the responses don't reach it, so launches would not reach it
+     * either.
+     */
     public boolean downlinkUnreachable() {
         return downlink.unreachableSince() >= 0;
     }
--- a/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
+++ b/src/main/java/org/spoolline/cluster/MachineTypeCatalog.java
@@ -77,7 +77,7 @@
      * Reads the types from the cloud with a single request.
      *
      * @param onResult called on the event loop; with true when the response names types, which then replace the current
-     * ones
+     *     ones
      */
     public void refresh(Consumer<Boolean> onResult) {
         http.call(
--- a/src/main/java/org/spoolline/config/Constants.java
+++ b/src/main/java/org/spoolline/config/Constants.java
@@ -45,7 +45,10 @@
          * process takes half of it.
          */
         public static final int FULL_HEAP_PROCESS_MB = 200;
-        /** Minimum socket quota that leaves sockets for workers and users beside the store, the cloud and the peers. */
+        /**
+         * Minimum socket quota that leaves sockets for workers and users in addition to those for the store, the cloud
+         * and the peers.
+         */
         public static final int SOCKETS_NEEDED = 100;
         /** Maximum wait in ms for a known leader before users and workers are served: more than an election takes. */
         public static final long LEADER_DISCOVERY_TIMEOUT_MS = 1_500;
@@ -326,7 +329,10 @@
          * cancel_s covers late responses.
          */
         public static final int ANCESTOR_CACHE_FRACTION = 3;
-        /** Attempts to commit a user's cancellation against concurrent writes before the user is told to retry. */
+        /**
+         * Attempts to commit a user's cancellation against concurrent writes before the response asks the user to
+         * retry.
+         */
         public static final int CANCEL_TRIES = 5;
         /** Cached jobs of a node: terminal states, which then need no request, and times of status polls. */
         public static final int JOB_CACHE_SIZE = 4_096;
--- a/src/main/java/org/spoolline/job/AttemptIndex.java
+++ b/src/main/java/org/spoolline/job/AttemptIndex.java
@@ -7,8 +7,8 @@
 import org.spoolline.pipeline.Pipeline;
 
 /**
- * The committed attempts of all jobs by machine. It adds a job's attempts with forEach, because their iterator runs
- * in the opposite direction and the order of launches in a response to a heartbeat depends on the insertion order.
+ * The committed attempts of all jobs by machine. It adds a job's attempts with forEach, because their iterator has the
+ * opposite order, and the order of launches in a heartbeat response depends on the insertion order.
  */
 final class AttemptIndex {
     private final Map<String, Map<AttemptId, Attempt>> byMachine = new HashMap<>();
--- a/src/main/java/org/spoolline/job/JobReader.java
+++ b/src/main/java/org/spoolline/job/JobReader.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * The job's terminal record if it is cached, without a request to the store. An empty result says nothing about
-     * the job's state.
+     * The job's terminal record if it is cached, without a request to the store. An empty result does not indicate the
+     * job's state.
      */
     public Optional<TerminalRecord> cachedTerminalRecord(String jobId) {
         return Optional.ofNullable(terminalRecords.get(jobId));
--- a/src/main/java/org/spoolline/job/JobWatcher.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Starts the term of this fencing token and reads the live jobs, which the election has fenced against writes of
+     * Starts the term of this fencing token and reads the live jobs. The election has already fenced off writes of
      * former leaders. Token 0 ends the current term without starting another.
      */
     public void beginTerm(long token) {
--- a/src/main/java/org/spoolline/kvstore/ListResult.java
+++ b/src/main/java/org/spoolline/kvstore/ListResult.java
@@ -5,8 +5,8 @@
 /**
  * Result of listing the keys with a prefix.
  *
- * @param answered false if the store refused a page or did not respond; the empty list of values then says nothing
- *     about the stored keys
+ * @param answered false if the store refused a page or did not respond; the empty list of values then does not indicate
+ *     that no key exists
  * @param revision the revision of the first page; a watch from it reports every change that later pages may have missed
  */
 public record ListResult(boolean answered, List<VersionedValue> values, long revision) {
--- a/src/main/java/org/spoolline/kvstore/StoreConnection.java
+++ b/src/main/java/org/spoolline/kvstore/StoreConnection.java
@@ -44,7 +44,7 @@
 
     /**
      * Sends a watch. The store delays its response until a key changes or the wait time ends. The store therefore
-     * counts as reachable as of the response rather than of the request, and the latency is not recorded.
+     * counts as reachable from the time of the response rather than of the request, and the latency is not recorded.
      */
     void sendWatch(String path, long timeoutMs, Consumer<Http.Reply> onReply) {
         http.call(address, "GET", path, null, timeoutMs, reply -> {
--- a/src/main/java/org/spoolline/metrics/Event.java
+++ b/src/main/java/org/spoolline/metrics/Event.java
@@ -37,7 +37,7 @@
     LAUNCH_WITHHELD_TEAM_LIMIT,
     /** A heartbeat listed an attempt as not exited that the leader has released; its stop is ordered. */
     HEARTBEAT_LISTED_RELEASED_ATTEMPT,
-    /** A heartbeat listed the rejected launch of an attempt that is not stored; the worker is told to clear it. */
+    /** A heartbeat listed the rejected launch of an attempt that is not stored; the worker is ordered to clear it. */
     REJECTED_LAUNCH_NOT_STORED,
     /** A stop of a task was ordered. */
     STOP_ORDERED,
--- a/src/main/java/org/spoolline/peer/PeerService.java
+++ b/src/main/java/org/spoolline/peer/PeerService.java
@@ -149,14 +149,14 @@
         return reply.ok() ? PeerCodec.decodeResponse(reply.body()).orElse(UNAVAILABLE) : UNAVAILABLE;
     }
 
-    /** True if a current status of a peer says that it reaches the key-value store and receives heartbeats. */
+    /** True if a current status of a peer reports that it reaches the key-value store and receives heartbeats. */
     public boolean anyPeerReceivesHeartbeats() {
         return statusByNode.values().stream()
                 .anyMatch(
                         received -> reachesStore(received) && received.status().receivesHeartbeats());
     }
 
-    /** True if a current status of a peer says that it reaches the key-value store. */
+    /** True if a current status of a peer reports that it reaches the key-value store. */
     public boolean anyPeerReachesStore() {
         return statusByNode.values().stream().anyMatch(this::reachesStore);
     }
--- a/src/main/java/org/spoolline/pipeline/TaskJoin.java
+++ b/src/main/java/org/spoolline/pipeline/TaskJoin.java
@@ -6,7 +6,7 @@
 /**
  * The join (J2) of the fork over a job's tasks. A job can have too many tasks to store a stack frame and a count for
  * each. Instead, the join has a low watermark, below which all tasks are completed, and a window of {@link
- * Constants.Job#JOIN_WINDOW} tasks from the watermark on, with one bit for each task that tells whether it is
+ * Constants.Job#JOIN_WINDOW} tasks from the watermark on, with one bit for each task that is set if the task is
  * completed. This bounds the stored size for any number of tasks and any order in which they complete.
  *
  * <p>Mutable and not thread-safe: each instance belongs to one {@link Pipeline}.
--- a/src/main/java/org/spoolline/reconcile/LostAttemptsLog.java
+++ b/src/main/java/org/spoolline/reconcile/LostAttemptsLog.java
@@ -8,9 +8,9 @@
 import org.spoolline.pipeline.Attempt;
 
 /**
- * Logs the attempts of one job that are proven to have terminated with their machines or incarnations. At info it
- * writes one line per kind of proof, because after a crash of all controllers hundreds of attempts can be lost while
- * the new leader has little time. At debug it writes one line per attempt.
+ * Logs the attempts of one job that are proven to have ended with their machines or incarnations. At info it writes one
+ * line per kind of proof, because after a crash of all controllers hundreds of attempts can be lost while the new
+ * leader has little time. At debug it writes one line per attempt.
  */
 final class LostAttemptsLog {
     private static final Logger LOG = LoggerFactory.getLogger(LostAttemptsLog.class);
--- a/src/main/java/org/spoolline/reconcile/TerminationProof.java
+++ b/src/main/java/org/spoolline/reconcile/TerminationProof.java
@@ -85,7 +85,7 @@
      * @param token the lowest fencing token that the leader of the term sends to workers
      * @param formerLeadersMayRenewUntil the latest time at which a former leader can have renewed a worker's lease,
      *     in ms of the event loop's clock
-     * @param leaseExpiryMs ms after its last lease renewal by which a worker has ended all its tasks
+     * @param leaseExpiryMs ms after its last lease renewal by which a worker has terminated all its tasks
      */
     public TerminationProof(long token, long formerLeadersMayRenewUntil, long leaseExpiryMs) {
         this.token = token;
--- a/src/main/java/org/spoolline/scheduler/CyclePlanner.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePlanner.java
@@ -43,7 +43,7 @@
 
     /**
      * Plans placements, preemptions and evacuations. Returns an empty plan when the planner fails, so that the cycle
-     * still writes the tasks that have ended.
+     * still records the tasks that have ended.
      */
     SchedulingPlan plan(CycleState state) {
         try {
--- a/src/main/java/org/spoolline/scheduler/DirtyAttempts.java
+++ b/src/main/java/org/spoolline/scheduler/DirtyAttempts.java
@@ -12,8 +12,8 @@
 
 /**
  * Attempts that have to be reconciled because a heartbeat of their machine reported a change. An attempt stays dirty
- * until a write of its job is sent or the reconciliation finds that the job does not change. If the write is abandoned,
- * all attempts of the job become dirty again.
+ * until a write of its job is sent or the reconciliation leaves the job unchanged. If the write is abandoned, all
+ * attempts of the job become dirty again.
  */
 final class DirtyAttempts {
     private final JobTable jobs;
--- a/src/main/java/org/spoolline/scheduler/JobStepper.java
+++ b/src/main/java/org/spoolline/scheduler/JobStepper.java
@@ -55,7 +55,7 @@
 
     /**
      * Returns true, and restarts the interval, when this cycle has to reconcile all attempts. Lease expiry also shows
-     * that an attempt has terminated, but no heartbeat marks such an attempt as dirty.
+     * that an attempt has ended, but no heartbeat marks such an attempt as dirty.
      */
     private boolean startFullReconcileIfDue() {
         boolean due = loop.now() - lastFullReconcileAt >= Constants.Cycle.FULL_RECONCILE_MS;
--- a/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
+++ b/src/main/java/org/spoolline/scheduler/LaunchPreparer.java
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Withdraws the last added attempts until the value fits: for a gang all of them at once, for an array half of the
-     * remaining ones at a time.
+     * Withdraws the last added attempts until the value fits: for a gang all of them at once, for an array job half of
+     * the remaining ones at a time.
      */
     private void withdrawUntilValueFits(Pipeline job, List<Attempt> added) {
         while (!added.isEmpty() && !valueFits(job)) {
--- a/src/main/java/org/spoolline/scheduler/MachineEvictions.java
+++ b/src/main/java/org/spoolline/scheduler/MachineEvictions.java
@@ -33,7 +33,7 @@
         lastConsolidationAt = loop.now();
     }
 
-    /** True when the consolidation interval has passed, in which the tasks of evacuated machines had time to move. */
+    /** True when the consolidation interval has passed, which gives the tasks of evacuated machines time to move. */
     boolean mayConsolidate() {
         return loop.now() - lastConsolidationAt >= Constants.Placement.CONSOLIDATION_INTERVAL_MS;
     }
--- a/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
@@ -14,8 +14,8 @@
 /**
  * Decides which attempts are preempted for jobs that lack capacity.
  *
- * <p>An urgent gang preempts work of lower priority, on the machines where the least work is lost. An array within its
- * team's guaranteed share preempts tasks with checkpoints that have a lower priority or belong to another team that
+ * <p>An urgent gang preempts work of lower priority, on the machines where the least work is lost. An array job within
+ * its team's guaranteed share preempts tasks with checkpoints that have a lower priority or belong to another team that
  * exceeds its own share. The machines stay reserved until the job has started there or the reservation expires.
  */
 final class PreemptionPlanner {
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -122,8 +122,8 @@
     }
 
     /**
-     * A gang counts as started once all its members are placed; an array, once none of the evicted attempts is left on
-     * the reserved machines.
+     * A gang counts as started once all its members are placed; an array job, once none of the evicted attempts is left
+     * on the reserved machines.
      */
     private boolean hasStarted(Pipeline job, Preemption preemption) {
         if (job.spec().gang()) {
--- a/src/main/java/org/spoolline/scheduler/TermState.java
+++ b/src/main/java/org/spoolline/scheduler/TermState.java
@@ -58,7 +58,7 @@
      * Starts a term with empty state.
      *
      * @param token fencing token of the term
-     * @param proof rules by which the leader infers in this term that an attempt has terminated
+     * @param proof rules by which the leader infers in this term that an attempt has ended
      */
     void beginTerm(long token, TerminationProof proof) {
         reconciler.beginTerm(proof);
--- a/src/main/java/org/spoolline/scheduler/Victim.java
+++ b/src/main/java/org/spoolline/scheduler/Victim.java
@@ -44,7 +44,8 @@
     /**
      * A machine and the attempts to be preempted on it.
      *
-     * @param cost core seconds that preemption and image fetch cost; 0 for an array, which doesn't compare it
+     * @param cost core seconds that preemption and image fetch cost; 0 for an array job, for which costs are not
+     *     compared
      */
     record OnMachine(SchedulableMachine machine, List<Victim> victims, double cost) {}
 }
--- a/src/main/java/org/spoolline/worker/EarlyHeartbeatRequests.java
+++ b/src/main/java/org/spoolline/worker/EarlyHeartbeatRequests.java
@@ -47,7 +47,9 @@
         this.minIntervalMs = settings.workers().leaseMs() / 2 + Constants.Time.MARGIN_MS;
     }
 
-    /** Requests a heartbeat from each machine, immediately or as soon as earlier requests are answered. */
+    /**
+     * Requests a heartbeat from each machine, immediately, or once earlier requests have been answered or timed out.
+     */
     void request(Collection<String> machineNames) {
         pending.addAll(machineNames);
         sendPending();
--- a/src/main/java/org/spoolline/worker/HeartbeatResponder.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -68,6 +68,7 @@
         }
     }
 
+    /** True when the response may renew the lease; otherwise this method rejects the heartbeat. */
     private boolean mayRenewOrReject(PendingResponse pending) {
         boolean terminated = pending.machine().terminated();
         if (staleness.mayRenewLeases() && !terminated) {
--- a/src/main/java/org/spoolline/worker/HeldResponses.java
+++ b/src/main/java/org/spoolline/worker/HeldResponses.java
@@ -9,8 +9,8 @@
 
 /**
  * Holds responses to heartbeats for a short time, so that they can include launches which the next scheduling cycle
- * commits. There is at most one held response per machine. It is sent when the cycle has committed, when a later
- * heartbeat of the machine arrives, or after a timeout.
+ * commits. There is at most one held response per machine. It is sent when the cycle's writes are committed, when a
+ * later heartbeat of the machine arrives, or after a timeout.
  */
 final class HeldResponses {
     private final EventLoop loop;
