--- a/src/test/java/org/spoolline/api/JobApiFixture.java
+++ b/src/test/java/org/spoolline/api/JobApiFixture.java
@@ -23,7 +23,7 @@
 import org.spoolline.pipeline.SubmissionCodec;
 import org.spoolline.upgrade.VersionRegistry;
 
-/** A {@link JobApi} on a fake event loop, with an in-memory key-value store that replies immediately. */
+/** A {@link JobApi} on a fake event loop, with an in-memory key-value store that responds immediately. */
 final class JobApiFixture {
     /** A valid submission that fits the machine types and the team's limit. */
     static final String SUBMISSION =
@@ -49,7 +49,7 @@
     final List<String> storeRequests = new ArrayList<>();
     /** Ids of the jobs whose cancellation the API has confirmed, in order. */
     final List<String> confirmedCancellations = new ArrayList<>();
-    /** Statuses that the store replies to the next transactions, in order, instead of processing them. */
+    /** Statuses that the store returns for the next transactions, in order, without processing them. */
     final List<Integer> overriddenCommitStatuses = new ArrayList<>();
 
     boolean storeReachable = true;
--- a/src/test/java/org/spoolline/api/JobApiStatusTest.java
+++ b/src/test/java/org/spoolline/api/JobApiStatusTest.java
@@ -192,7 +192,7 @@
 
     /** While the request budget is low, jobs without a recent response have priority; others must retry later. */
     @Test
-    void recentlyAnsweredJobYieldsLowRequestBudget() throws SubmissionCodec.Malformed {
+    void rejectsPollAfterRecentResponseWhileRequestBudgetIsLow() throws SubmissionCodec.Malformed {
         fixture.accept(JobApiFixture.submission());
         fixture.accept(JobApiFixture.submission("uid", "\"run-2\""));
         status();
--- a/src/test/java/org/spoolline/autoscaler/CloudCodecTest.java
+++ b/src/test/java/org/spoolline/autoscaler/CloudCodecTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.spoolline.cluster.Machine;
 
-/** Tests the exact wire format of requests to the cloud and the parsing of its replies. */
+/** Tests the exact wire format of requests to the cloud and the parsing of its responses. */
 class CloudCodecTest {
     private static byte[] bytes(String json) {
         return json.getBytes(StandardCharsets.UTF_8);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void parsesMalformedReplyAsEmpty() {
+    void parsesMalformedResponseAsEmpty() {
         assertEquals(new CloudCodec.ListPage(List.of(), false), CloudCodec.parseList(bytes("no json")));
         assertEquals(List.of(), CloudCodec.parseAcquired(bytes("{}")));
         assertEquals(List.of("m-1"), CloudCodec.parseAcquired(bytes("{\"spoolers\":[\"m-1\"]}")));
--- a/src/test/java/org/spoolline/pipeline/PipelineTest.java
+++ b/src/test/java/org/spoolline/pipeline/PipelineTest.java
@@ -85,10 +85,11 @@
     }
 
     /**
-     * Guards against placements of an array over hundreds of machines being cut short because the job's value is full.
+     * Guards against placements of an array job over hundreds of machines being cut short because the job's value is
+     * full.
      */
     @Test
-    void arrayOnRandomMachinesFitsOneValue() throws Exception {
+    void arrayJobOnRandomMachinesFitsOneValue() throws Exception {
         SplittableRandom random = new SplittableRandom(2);
         Pipeline pipeline = pipeline(2_500);
         List<Attempt> placed = new ArrayList<>();
--- a/src/test/java/org/spoolline/pipeline/SampleSubmissions.java
+++ b/src/test/java/org/spoolline/pipeline/SampleSubmissions.java
@@ -11,7 +11,7 @@
      * Body of a job of standard priority without checkpoints, whose tasks may run on any machine; the caller may set
      * further fields.
      *
-     * @param shape the wire name of the job's shape, such as {@code batch} for an array or {@code group} for a gang
+     * @param shape the wire name of the job's shape, such as {@code batch} for an array job or {@code group} for a gang
      */
     public static ObjectNode body(String jobId, String team, String shape, int tasks, double cores) {
         return Json.object()
--- a/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
+++ b/src/test/java/org/spoolline/scheduler/DependencyTrackerTest.java
@@ -22,7 +22,7 @@
 import org.spoolline.simulation.Simulation;
 
 /**
- * A job must not be released before the terminal records of all its dependencies are known to be done, and must be
+ * Tasks of a job must not start before the terminal records of all its dependencies are known to be done. A job must be
  * cancelled when any dependency is cancelled. A job inherits the priority of its dependents.
  */
 class DependencyTrackerTest {
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void releasesJobOnlyAfterReadingDoneRecordsOfAllDependencies() throws Exception {
+    void satisfiesDependenciesOnlyAfterReadingAllDoneRecords() throws Exception {
         dependencies.beginTerm(1);
         addLiveJob(job(1, "standard"));
         Pipeline waiting = addLiveJob(job(3, "standard", 1, 2));
@@ -89,9 +89,9 @@
         dependencies.refresh();
         dependencies.refresh();
         assertEquals(DependencyTracker.Status.SATISFIED, dependencies.statusOf(waiting));
-        Pipeline released = dependencies.applyStatus(waiting);
-        assertEquals(false, released.hasUnsatisfiedDependencies());
-        assertEquals(1, released.unplacedTaskCount());
+        Pipeline satisfied = dependencies.applyStatus(waiting);
+        assertEquals(false, satisfied.hasUnsatisfiedDependencies());
+        assertEquals(1, satisfied.unplacedTaskCount());
     }
 
     @Test
--- a/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
+++ b/src/test/java/org/spoolline/scheduler/PreemptionPlannerTest.java
@@ -17,10 +17,10 @@
         return SchedulerFixture.job(jobId, team, shape, urgency, 1, 8, checkpointS, Simulation.START_OF_DAY);
     }
 
-    /** Adds a machine that is fully used by one task with checkpoints, which has run for {@code ranS} seconds. */
-    private void addFullMachine(String name, double ranS) throws Exception {
+    /** Adds a machine that is fully used by one task with checkpoints, which has run for {@code runTimeS} seconds. */
+    private void addFullMachine(String name, double runTimeS) throws Exception {
         fixture.addMachineRunning(
-                name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), ranS);
+                name, job("run-00000" + fixture.machines.size(), "red", "batch", "best_effort", 15), runTimeS);
     }
 
     private Preemption preemptionFor(Pipeline job) {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void arrayWithinFairSharePreemptsLeastLoss() throws Exception {
+    void arrayJobWithinFairSharePreemptsLeastLoss() throws Exception {
         // The jobs on the first two machines are within the guaranteed share of their own team.
         addFullMachine("k", 30);
         addFullMachine("l", 30);
