--- a/src/main/java/org/spoolline/cluster/Downlink.java
+++ b/src/main/java/org/spoolline/cluster/Downlink.java
@@ -4,16 +4,16 @@
 
 /**
  * Detects whether the leader's responses reach a machine. A machine whose heartbeats arrive may still receive no
- * responses. Launches would not reach it, and its lease expires although each heartbeat is answered.
+ * responses. Launches do not reach such a machine, and its lease expires although the leader answers each heartbeat.
  */
 final class Downlink {
     private static final long NEVER = -1;
 
-    /** What a heartbeat tells about the delivery of the responses to earlier ones. */
+    /** What a heartbeat shows about the delivery of the responses to earlier heartbeats. */
     enum Observation {
         /**
-         * Neither of the others: no response or no new token was sent, or so few responses are unacknowledged that the
-         * network may have lost them.
+         * Delivery can't be determined: no response or no new token was sent, or so few responses are unacknowledged
+         * that the network may have lost them.
          */
         INCONCLUSIVE,
         /** The worker has observed a token that it had not observed before, so it received a response. */
@@ -33,12 +33,15 @@
         lastSentToken = token;
     }
 
-    /** Time of the last response that renewed the lease, in ms of the loop's clock; -1 before the first one. */
+    /** Time of the last response that renewed the lease, in ms of the event loop's clock; -1 before the first one. */
     long lastResponseAt() {
         return lastResponseAt;
     }
 
-    /** Time at which responses were found not to arrive, in ms of the loop's clock; -1 while none are known to fail. */
+    /**
+     * Time at which responses were found not to arrive, in ms of the event loop's clock; -1 while none are known to
+     * fail.
+     */
     long unreachableSince() {
         return unreachableSince;
     }
--- a/src/main/java/org/spoolline/job/JobReader.java
+++ b/src/main/java/org/spoolline/job/JobReader.java
@@ -15,7 +15,7 @@
     public enum Failure {
         /** This node has currently used up its share of the store's rate limit. */
         RATE_LIMITED,
-        /** The store did not answer, or its answer can't be used. */
+        /** The store did not respond, or its response can't be used. */
         STORE_UNREACHABLE
     }
 
@@ -28,8 +28,8 @@
     }
 
     /**
-     * The job's terminal record if it is cached, without a request to the store. An empty result says nothing about
-     * the job's state.
+     * The job's terminal record if it is cached, without a request to the store. An empty result does not indicate the
+     * job's state.
      */
     public Optional<TerminalRecord> cachedTerminalRecord(String jobId) {
         return Optional.ofNullable(terminalRecords.get(jobId));
--- a/src/main/java/org/spoolline/job/JobWatcher.java
+++ b/src/main/java/org/spoolline/job/JobWatcher.java
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Starts the term of this fencing token and reads the live jobs, which the election has fenced against writes of
+     * Starts the term of this fencing token and reads the live jobs. The election has already fenced off writes of
      * former leaders. Token 0 ends the current term without starting another.
      */
     public void beginTerm(long token) {
@@ -89,7 +89,7 @@
             for (VersionedValue item : listing.values()) {
                 jobs.observe(new WatchEvent(item.key(), item.value(), item.version()), JobKeys.jobIdOfLive(item.key()));
             }
-            staleness.completeAsOf(sentAt);
+            staleness.viewCompleteAsOf(sentAt);
             counters.count(Event.JOBS_LISTED);
             recordReadSuccess(listing.revision(), sentAt);
             if (!loaded) {
@@ -125,8 +125,8 @@
                 recordReadFailure(Event.JOBS_WATCH_FAILED);
             } else {
                 recordReadSuccess(watched.revision(), sentAt);
-                jobs.forgetRemovalsUpTo(watched.revision());
-                staleness.completeAsOf(sentAt);
+                jobs.discardRemovalsUpTo(watched.revision());
+                staleness.viewCompleteAsOf(sentAt);
             }
             if (!watched.events().isEmpty()) {
                 onChanged.run();
--- a/src/main/java/org/spoolline/metrics/Event.java
+++ b/src/main/java/org/spoolline/metrics/Event.java
@@ -37,7 +37,7 @@
     LAUNCH_WITHHELD_TEAM_LIMIT,
     /** A heartbeat listed an attempt as not exited that the leader has released; its stop is ordered. */
     HEARTBEAT_LISTED_RELEASED_ATTEMPT,
-    /** A heartbeat listed the rejected launch of an attempt that is not stored; the worker is told to clear it. */
+    /** A heartbeat listed the rejected launch of an attempt that is not stored; the worker is ordered to clear it. */
     REJECTED_LAUNCH_NOT_STORED,
     /** A stop of a task was ordered. */
     STOP_ORDERED,
@@ -50,7 +50,7 @@
     CYCLE_SKIPPED_LEASE_EXPIRED,
     /** A scheduling cycle ended with an exception. */
     CYCLE_FAILED,
-    /** The planning step of a cycle failed; the cycle still wrote the ends of tasks. */
+    /** The planning step of a cycle failed; the cycle still recorded the tasks that have ended. */
     PLAN_FAILED,
     /** A task was placed; its launch is ordered once the placement is stored. */
     TASK_PLACED,
--- a/src/main/java/org/spoolline/pipeline/TaskJoin.java
+++ b/src/main/java/org/spoolline/pipeline/TaskJoin.java
@@ -6,7 +6,7 @@
 /**
  * The join (J2) of the fork over a job's tasks. A job can have too many tasks to store a stack frame and a count for
  * each. Instead, the join has a low watermark, below which all tasks are completed, and a window of {@link
- * Constants.Job#JOIN_WINDOW} tasks from the watermark on, with one bit for each task that tells whether it is
+ * Constants.Job#JOIN_WINDOW} tasks from the watermark on, with one bit for each task that is set if the task is
  * completed. This bounds the stored size for any number of tasks and any order in which they complete.
  *
  * <p>Mutable and not thread-safe: each instance belongs to one {@link Pipeline}.
@@ -90,7 +90,7 @@
         return base64Length(windowLength) - base64Length(window.length());
     }
 
-    /** Number of characters that so many bits take in Base64 without padding. */
+    /** Number of characters that this many bits take in Base64 without padding. */
     private static int base64Length(int bits) {
         int bytes = (bits + Byte.SIZE - 1) / Byte.SIZE;
         return (bytes * 4 + 2) / 3;
--- a/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
+++ b/src/main/java/org/spoolline/scheduler/PreemptionPlanner.java
@@ -14,8 +14,8 @@
 /**
  * Decides which attempts are preempted for jobs that lack capacity.
  *
- * <p>An urgent gang preempts work of lower priority, on the machines where the least work is lost. An array within its
- * team's guaranteed share preempts tasks with checkpoints that have a lower priority or belong to another team that
+ * <p>An urgent gang preempts work of lower priority, on the machines where the least work is lost. An array job within
+ * its team's guaranteed share preempts tasks with checkpoints that have a lower priority or belong to another team that
  * exceeds its own share. The machines stay reserved until the job has started there or the reservation expires.
  */
 final class PreemptionPlanner {
@@ -51,8 +51,8 @@
         Submission spec = gang.spec();
         victims.collect(job -> true);
         List<Victim.OnMachine> chosen = gangPreemption.choose(gang, machine -> machine.hasImage(spec));
-        double lost = GangPreemption.totalCost(chosen);
-        if (chosen.isEmpty() || lost >= fetchS * spec.cores() * spec.tasks()) {
+        double preemptionCost = GangPreemption.totalCost(chosen);
+        if (chosen.isEmpty() || preemptionCost >= fetchS * spec.cores() * spec.tasks()) {
             return false;
         }
         preemptions.add(reserve(gang, chosen, true));
@@ -84,7 +84,7 @@
             return false;
         }
         if (isUrgentGang(job)) {
-            // Preemption clears machines for all tasks of a gang, which is too many for a partly placed one.
+            // Preemption clears machines for all tasks of a gang; a partly placed gang needs fewer.
             return job.attempts().isEmpty();
         }
         return !job.spec().gang() && demand.withinFairShare();
--- a/src/main/java/org/spoolline/scheduler/Reservations.java
+++ b/src/main/java/org/spoolline/scheduler/Reservations.java
@@ -24,7 +24,10 @@
     private final EventLoop loop;
     private final JobTable jobs;
     private final Map<String, Reservation> byJob = new LinkedHashMap<>();
-    /** Gangs for which machines with their image have been cleared: at most once each, so that none waits for long. */
+    /**
+     * Gangs for which machines with their image have been cleared by preemption: at most once each, so that no gang
+     * waits long for such machines.
+     */
     private final Set<String> gangsPreemptedForImage = new HashSet<>();
 
     /** A job's reserved machines, the evictions that clear them, and the time at which the reservation expires. */
@@ -51,7 +54,7 @@
     }
 
     /** Removes the record of a preemption for image locality, once the job has reached a terminal state. */
-    void forget(String jobId) {
+    void removeJob(String jobId) {
         gangsPreemptedForImage.remove(jobId);
     }
 
@@ -119,8 +122,8 @@
     }
 
     /**
-     * A gang counts as started once all its members are placed; an array, once none of the evicted attempts is left on
-     * the reserved machines.
+     * A gang counts as started once all its members are placed; an array job, once none of the evicted attempts is left
+     * on the reserved machines.
      */
     private boolean hasStarted(Pipeline job, Preemption preemption) {
         if (job.spec().gang()) {
--- a/src/main/java/org/spoolline/scheduler/TermState.java
+++ b/src/main/java/org/spoolline/scheduler/TermState.java
@@ -58,7 +58,7 @@
      * Starts a term with empty state.
      *
      * @param token fencing token of the term
-     * @param proof rules by which the leader infers in this term that an attempt has terminated
+     * @param proof rules by which the leader infers in this term that an attempt has ended
      */
     void beginTerm(long token, TerminationProof proof) {
         reconciler.beginTerm(proof);
@@ -77,8 +77,8 @@
 
     /** Removes the state of a job that has reached a terminal state. */
     void removeJob(String jobId) {
-        reconciler.forget(jobId);
-        gangLaunches.forget(jobId);
-        reservations.forget(jobId);
+        reconciler.removeJob(jobId);
+        gangLaunches.removeJob(jobId);
+        reservations.removeJob(jobId);
     }
 }
--- a/src/main/java/org/spoolline/worker/HeartbeatResponder.java
+++ b/src/main/java/org/spoolline/worker/HeartbeatResponder.java
@@ -68,6 +68,7 @@
         }
     }
 
+    /** True when the response may renew the lease; otherwise this method rejects the heartbeat. */
     private boolean mayRenewOrReject(PendingResponse pending) {
         boolean terminated = pending.machine().terminated();
         if (staleness.mayRenewLeases() && !terminated) {
@@ -92,7 +93,7 @@
     }
 
     private List<Order> ordersFor(PendingResponse pending) {
-        if (!ordersEnabled || !pending.answersLastHeartbeat()) {
+        if (!ordersEnabled || !pending.isForLastHeartbeat()) {
             return List.of();
         }
         if (staleness.mayLaunch()) {
--- a/src/main/java/org/spoolline/worker/OrderPlanner.java
+++ b/src/main/java/org/spoolline/worker/OrderPlanner.java
@@ -49,7 +49,7 @@
 
     /**
      * Stop orders for the attempts of jobs that are known to be cancelled. They are correct even if the view of the
-     * jobs is stale, because a cancellation is never undone.
+     * jobs is stale, because a cancellation is never reverted.
      */
     List<Order> stopsOfCancelledJobs(Machine machine) {
         List<Order> orders = new ArrayList<>();
@@ -146,12 +146,12 @@
      * exceed it if the predecessor stopped between two writes.
      */
     private boolean isWithinTeamLimit(AttemptId attemptId) {
-        boolean within =
+        boolean withinLimit =
                 !quotas.exceeded(jobs.get(attemptId.jobId()).committed().spec().team());
-        if (!within) {
+        if (!withinLimit) {
             counters.count(Event.LAUNCH_WITHHELD_TEAM_LIMIT);
         }
-        return within;
+        return withinLimit;
     }
 
     /**
@@ -176,7 +176,7 @@
         if (job == null || job.cancelled() || !job.isActive(attempt)) {
             return OptionalDouble.of(0);
         }
-        return desiredState.graceOf(attemptId);
+        return desiredState.stopGraceS(attemptId);
     }
 
     /** True when the machine's last heartbeat lists another attempt of the same task that has not exited. */
