--- a/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
+++ b/src/main/java/org/spoolline/cli/ClassArchiveTraining.java
@@ -56,7 +56,7 @@
     private Settings settings() throws IOException, SettingsException {
         Path file = Files.createTempFile("spoolline", ".toml");
         file.toFile().deleteOnExit();
-        Files.writeString(file, TrainingMessages.settings(nodeAddress, internalAddress, servicesAddress));
+        Files.writeString(file, TrainingWire.settings(nodeAddress, internalAddress, servicesAddress));
         return SettingsFile.load(file).settings();
     }
 
@@ -67,9 +67,9 @@
     }
 
     private void scheduleRequests() {
-        requestAfter(600, "POST", "/submissions", TrainingMessages.submission());
-        requestAfter(700, "GET", "/submissions/" + TrainingMessages.JOB_ID, null);
-        requestAfter(750, "POST", "/submissions/" + TrainingMessages.UNKNOWN_JOB_ID + "/abort", new byte[0]);
+        requestAfter(600, "POST", "/submissions", TrainingWire.submission());
+        requestAfter(700, "GET", "/submissions/" + TrainingWire.JOB_ID, null);
+        requestAfter(750, "POST", "/submissions/" + TrainingWire.UNKNOWN_JOB_ID + "/abort", new byte[0]);
         requestAfter(800, "GET", "/healthz", null);
         network.loop().after(900, this::sendHeartbeat);
     }
@@ -89,14 +89,14 @@
             return;
         }
         boolean taskCompleted = heartbeats > Constants.Process.TRAINING_HEARTBEATS / 2;
-        byte[] heartbeat = TrainingMessages.heartbeat(heartbeats, taskCompleted);
+        byte[] heartbeat = TrainingWire.heartbeat(heartbeats, taskCompleted);
         call("POST", "/checkin", heartbeat, reply -> network.loop().after(HEARTBEAT_INTERVAL_MS, this::sendHeartbeat));
     }
 
     private void serveServices(Http.Request request, Consumer<Http.Response> responder) {
-        Optional<String> body = TrainingMessages.serviceResponse(request.method(), request.path());
+        Optional<String> body = TrainingWire.serviceResponse(request.method(), request.path());
         byte[] bytes = body.orElse("").getBytes(StandardCharsets.UTF_8);
-        long delayMs = request.path().equals(TrainingMessages.WATCH) ? WATCH_MS : 0;
+        long delayMs = request.path().equals(TrainingWire.WATCH) ? WATCH_MS : 0;
         network.loop().after(delayMs, () -> responder.accept(Http.Response.of(body.isPresent() ? 200 : 404, bytes)));
     }
 }
--- a/src/main/java/org/spoolline/cli/TrainingMessages.java
+++ b/src/main/java/org/spoolline/cli/TrainingWire.java
@@ -8,7 +8,7 @@
 /**
  * Sample messages for the training run: those that users, workers, the key-value store and the cloud send to a node.
  */
-final class TrainingMessages {
+final class TrainingWire {
     static final String JOB_ID = "run-000001";
     static final String UNKNOWN_JOB_ID = "run-000002";
     /** Path of a watch: the key-value store responds once a value has changed or the wait time is over. */
@@ -73,7 +73,7 @@
             + ",\"at\":1,\"k\":{\"b\":[[[\"a\",\"tasks\"],[],[[\"c\",[\"o\",[\"a\",\"tasks\"]],[],[],true]]]]}"
             + ",\"low\":0,\"n\":0},\"stamp\":3}],\"hasNext\":false,\"ledger\":5}";
 
-    private TrainingMessages() {}
+    private TrainingWire() {}
 
     /** Returns the settings file of a node without peers; its key-value store and cloud share one address. */
     static String settings(String nodeAddress, String internalAddress, String servicesAddress) {
