--- a/src/test/java/org/spoolline/simulation/ControllerProcess.java
+++ b/src/test/java/org/spoolline/simulation/ControllerProcess.java
@@ -42,13 +42,13 @@
     }
 
     /** Begins a new process without a stall and returns its incarnation. */
-    int begin() {
+    int startIncarnation() {
         up = true;
         stalledUntil = 0;
         return ++incarnation;
     }
 
-    void run(Controller newController) {
+    void startController(Controller newController) {
         controller = newController;
         controller.start();
     }
@@ -62,17 +62,17 @@
     }
 
     /** Runs the action as part of the present process. */
-    void act(Runnable action) {
-        act(incarnation, action);
+    void execute(Runnable action) {
+        execute(incarnation, action);
     }
 
     /** Runs the action unless its process has ended, and not before the end of a stall. */
-    void act(int ofIncarnation, Runnable action) {
-        if (!up || incarnation != ofIncarnation) {
+    void execute(int expectedIncarnation, Runnable action) {
+        if (!up || incarnation != expectedIncarnation) {
             return;
         }
         if (events.now() < stalledUntil) {
-            events.at(stalledUntil - events.now(), () -> act(ofIncarnation, action));
+            events.schedule(stalledUntil - events.now(), () -> execute(expectedIncarnation, action));
         } else {
             action.run();
         }
--- a/src/test/java/org/spoolline/simulation/Controllers.java
+++ b/src/test/java/org/spoolline/simulation/Controllers.java
@@ -24,7 +24,7 @@
     private final SimulatedSettings settings;
     private final Map<String, ControllerProcess> processes = new LinkedHashMap<>();
     /** Controllers that still run a version without dependent jobs. */
-    private final Set<String> olderVersion = new HashSet<>();
+    private final Set<String> olderVersionControllers = new HashSet<>();
 
     private Network network;
     private Optional<Http.Handler> replacement = Optional.empty();
@@ -40,8 +40,8 @@
     }
 
     /** Starts all controllers, which call through the network. */
-    void startAll(Network through) {
-        network = through;
+    void startAll(Network newNetwork) {
+        network = newNetwork;
         processes.keySet().forEach(this::start);
     }
 
@@ -63,23 +63,24 @@
     }
 
     Settings settings(String name) {
-        return settings.of(processes.get(name), processes.values());
+        return settings.forController(processes.get(name), processes.values());
     }
 
     /** Starts a new process of the controller, in place of one that still runs. */
     public void start(String name) {
         ControllerProcess process = processes.get(name);
-        int incarnation = process.begin();
+        int incarnation = process.startIncarnation();
         Http.Caller caller = (target, method, path, body, timeoutMs, done) -> network.call(
                 name,
                 target,
                 new Http.Request(method, path, "", body == null ? new byte[0] : body),
                 timeoutMs,
-                reply -> process.act(incarnation, () -> done.accept(reply)));
-        process.run(new Controller(settings(name), loopOf(process, incarnation), caller, random.split()));
+                reply -> process.execute(incarnation, () -> done.accept(reply)));
+        process.startController(
+                new Controller(settings(name), eventLoopOf(process, incarnation), caller, random.split()));
     }
 
-    private EventLoop loopOf(ControllerProcess process, int incarnation) {
+    private EventLoop eventLoopOf(ControllerProcess process, int incarnation) {
         return new EventLoop() {
             @Override
             public long now() {
@@ -93,7 +94,7 @@
 
             @Override
             public void after(long delayMs, Runnable task) {
-                events.at(delayMs, () -> process.act(incarnation, task));
+                events.schedule(delayMs, () -> process.execute(incarnation, task));
             }
         };
     }
@@ -106,7 +107,7 @@
     /** Kills the process and starts a new one after so many seconds. */
     public void crashFor(String name, double seconds) {
         crash(name);
-        events.at((long) (seconds * 1000), () -> start(name));
+        events.schedule((long) (seconds * 1000), () -> start(name));
     }
 
     /** The process makes no progress while its clocks run on; what arrived meanwhile is handled at once afterwards. */
@@ -120,19 +121,19 @@
      * benchmark's upgrade scenarios do.
      */
     public void startOlderVersion(String name) {
-        olderVersion.add(name);
+        olderVersionControllers.add(name);
         start(name);
     }
 
     /** Kills the process and starts one of the present version after so many seconds. */
     public void upgrade(String name, double seconds) {
         crash(name);
-        olderVersion.remove(name);
-        events.at((long) (seconds * 1000), () -> start(name));
+        olderVersionControllers.remove(name);
+        events.schedule((long) (seconds * 1000), () -> start(name));
     }
 
     boolean runsOlderVersion(String host) {
-        return olderVersion.contains(host);
+        return olderVersionControllers.contains(host);
     }
 
     /** Restarts all controllers with settings that announce these limits of the key-value store. */
@@ -153,8 +154,8 @@
     }
 
     /** From now on the scheduler given serves in place of every controller, to see an invariant violated. */
-    public void replaceWith(Http.Handler scheduler) {
-        replacement = Optional.of(scheduler);
+    public void replaceWith(Http.Handler handler) {
+        replacement = Optional.of(handler);
     }
 
     void receive(Network.Message message, Consumer<Http.Response> reply, Runnable connectionRefused) {
@@ -162,9 +163,9 @@
         if (replacement.isPresent()) {
             replacement.get().handle(message.request(), reply);
         } else if (!process.isUp()) {
-            events.at(1, connectionRefused);
+            events.schedule(1, connectionRefused);
         } else {
-            process.act(() -> {
+            process.execute(() -> {
                 if (message.target().equals(process.address())) {
                     process.controller().serve(message.request(), reply);
                 } else {
--- a/src/test/java/org/spoolline/simulation/EventQueue.java
+++ b/src/test/java/org/spoolline/simulation/EventQueue.java
@@ -20,7 +20,7 @@
     }
 
     /** Runs the action after the delay; a negative delay counts as none. */
-    void at(long delayMs, Runnable action) {
+    void schedule(long delayMs, Runnable action) {
         events.add(new Event(now + Math.max(0, delayMs), nextOrder++, action));
     }
 
--- a/src/test/java/org/spoolline/simulation/FakeCloud.java
+++ b/src/test/java/org/spoolline/simulation/FakeCloud.java
@@ -16,7 +16,7 @@
 public final class FakeCloud {
     private static final long LIST_STALENESS_MS = 6_000;
 
-    private static final long SNAPSHOT_MS = 500;
+    private static final long SNAPSHOT_INTERVAL_MS = 500;
     private static final int MAX_SNAPSHOTS = 40;
 
     private record Machine(String name, String type, String zone, boolean spot, long grantedAt) {}
@@ -24,7 +24,7 @@
     private final Simulation simulation;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, List<String>> grantsByRequest = new HashMap<>();
-    private final List<Map.Entry<Long, List<Machine>>> history = new ArrayList<>();
+    private final List<Map.Entry<Long, List<Machine>>> snapshots = new ArrayList<>();
     private int machineCount;
     private boolean outage;
     /** The most machines of one type and zone, spot and on demand each. */
@@ -39,7 +39,7 @@
 
     FakeCloud(Simulation simulation) {
         this.simulation = simulation;
-        snapshot();
+        takeSnapshotPeriodically();
     }
 
     /** Every request gets 503 for so many seconds. */
@@ -48,12 +48,12 @@
         simulation.at((long) (seconds * 1000), () -> outage = false);
     }
 
-    private void snapshot() {
-        history.add(Map.entry(simulation.now(), List.copyOf(machines.values())));
-        if (history.size() > MAX_SNAPSHOTS) {
-            history.remove(0);
+    private void takeSnapshotPeriodically() {
+        snapshots.add(Map.entry(simulation.now(), List.copyOf(machines.values())));
+        if (snapshots.size() > MAX_SNAPSHOTS) {
+            snapshots.remove(0);
         }
-        simulation.at(SNAPSHOT_MS, this::snapshot);
+        simulation.at(SNAPSHOT_INTERVAL_MS, this::takeSnapshotPeriodically);
     }
 
     /** Cores of a machine type. */
@@ -70,21 +70,21 @@
         if (path.equals("/machine_types")) {
             ObjectNode body = Json.object();
             ArrayNode types = body.putArray("builds");
-            types.add(type("small", 8, 0.5, 0.2));
-            types.add(type("big", 16, 1.1, 0.45));
+            types.add(machineType("small", 8, 0.5, 0.2));
+            types.add(machineType("big", 16, 1.1, 0.45));
             malformedTypes.forEach(types::add);
             reply.accept(Http.Response.of(200, Json.bytes(body)));
         } else if (path.equals("/rentals")) {
             scaleOut(Json.read(request.body()), reply);
         } else if (path.equals("/rentals/delete")) {
-            Json.read(request.body()).path("spoolers").forEach(n -> remove(n.asText()));
+            Json.read(request.body()).path("spoolers").forEach(name -> remove(name.asText()));
             reply.accept(Http.Response.of(200, Json.bytes(Json.object())));
         } else {
             list(path, reply);
         }
     }
 
-    private static ObjectNode type(String name, int cores, double price, double spotPrice) {
+    private static ObjectNode machineType(String name, int cores, double price, double spotPrice) {
         ObjectNode type = Json.object()
                 .put("name", name)
                 .put("cores", cores)
@@ -101,21 +101,21 @@
 
     /** Grants machines; a repeated request gets the same ones again. */
     private void scaleOut(JsonNode body, Consumer<Http.Response> reply) {
-        String request = body.path("hire").asText();
-        List<String> granted = grantsByRequest.get(request);
+        String requestId = body.path("hire").asText();
+        List<String> granted = grantsByRequest.get(requestId);
         if (granted == null) {
             granted = grant(body);
             if (granted.isEmpty()) {
                 reply.accept(Http.Response.of(503, Json.bytes(Json.object().put("error", "no capacity"))));
                 return;
             }
-            grantsByRequest.put(request, granted);
+            grantsByRequest.put(requestId, granted);
         }
         ArrayNode names = Json.array();
         granted.forEach(names::add);
-        ObjectNode answer = Json.object();
-        answer.set("spoolers", names);
-        reply.accept(Http.Response.of(200, Json.bytes(answer)));
+        ObjectNode response = Json.object();
+        response.set("spoolers", names);
+        reply.accept(Http.Response.of(200, Json.bytes(response)));
     }
 
     /** The names of as many of the requested machines as there is capacity for. */
@@ -125,7 +125,7 @@
         String zone = body.path("yard").asText();
         boolean spot = body.path("standby").asBoolean();
         for (int i = 0; i < body.path("count").asInt(); i++) {
-            if (inUse(type, zone, spot) >= capacity) {
+            if (countInUse(type, zone, spot) >= capacity) {
                 break;
             }
             String name = String.format("m-%06d", ++machineCount);
@@ -137,7 +137,7 @@
         return granted;
     }
 
-    private long inUse(String type, String zone, boolean spot) {
+    private long countInUse(String type, String zone, boolean spot) {
         return machines.values().stream()
                 .filter(machine -> machine.type().equals(type) && machine.zone().equals(zone) && machine.spot() == spot)
                 .count();
@@ -150,7 +150,7 @@
             return;
         }
         simulation.at(bootMs, () -> {
-            if (holds(machine.name())) {
+            if (hasMachine(machine.name())) {
                 FakeWorker worker =
                         new FakeWorker(simulation, machine.name(), machine.type(), machine.zone(), machine.spot());
                 simulation.workers().put(machine.name(), worker);
@@ -159,7 +159,7 @@
     }
 
     /** True until the machine is scaled in or taken away. */
-    boolean holds(String name) {
+    boolean hasMachine(String name) {
         return machines.containsKey(name);
     }
 
@@ -175,22 +175,22 @@
     /** A page of the machines as of some seconds ago. */
     private void list(String path, Consumer<Http.Response> reply) {
         long asOf = simulation.now() - LIST_STALENESS_MS - simulation.random.nextLong(LIST_STALENESS_MS);
-        List<Machine> then = List.of();
-        long at = 0;
-        for (Map.Entry<Long, List<Machine>> entry : history) {
+        List<Machine> listed = List.of();
+        long listedAt = 0;
+        for (Map.Entry<Long, List<Machine>> entry : snapshots) {
             if (entry.getKey() <= asOf) {
-                then = entry.getValue();
-                at = entry.getKey();
+                listed = entry.getValue();
+                listedAt = entry.getKey();
             }
         }
         String after = path.replaceAll(".*after=([^&]*).*", "$1");
-        int limit = Integer.parseInt(path.replaceAll(".*most=(\\d+).*", "$1"));
-        List<Machine> rest = then.stream()
+        int pageSize = Integer.parseInt(path.replaceAll(".*most=(\\d+).*", "$1"));
+        List<Machine> remaining = listed.stream()
                 .filter(machine -> machine.name().compareTo(after) > 0)
                 .toList();
-        ObjectNode body = Json.object().put("hasNext", rest.size() > limit);
+        ObjectNode body = Json.object().put("hasNext", remaining.size() > pageSize);
         ArrayNode page = body.putArray("spoolers");
-        for (Machine machine : rest.subList(0, Math.min(limit, rest.size()))) {
+        for (Machine machine : remaining.subList(0, Math.min(pageSize, remaining.size()))) {
             page.addObject()
                     .put("uid", machine.name())
                     .put("addr", machine.name() + ":9")
@@ -198,7 +198,7 @@
                     .put("yard", machine.zone())
                     .put("standby", machine.spot())
                     .put("status", "running")
-                    .put("heldS", (at - machine.grantedAt()) / 1000.0);
+                    .put("heldS", (listedAt - machine.grantedAt()) / 1000.0);
         }
         reply.accept(Http.Response.of(200, Json.bytes(body)));
     }
--- a/src/test/java/org/spoolline/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/spoolline/simulation/FakeKeyValueStore.java
@@ -40,15 +40,15 @@
 
     FakeKeyValueStore(Simulation simulation) {
         this.simulation = simulation;
-        this.watches = new KeyValueWatches(simulation, data, this::rejects);
-        expireLeases();
+        this.watches = new KeyValueWatches(simulation, data, this::isRejected);
+        expireLeasesPeriodically();
     }
 
-    private void expireLeases() {
+    private void expireLeasesPeriodically() {
         if (!outage) {
-            data.expiredLeases(simulation.now()).forEach(this::endLease);
+            data.expiredLeases(simulation.now()).forEach(this::deleteLease);
         }
-        simulation.at(LEASE_CHECK_MS, this::expireLeases);
+        simulation.at(LEASE_CHECK_MS, this::expireLeasesPeriodically);
     }
 
     // --- faults
@@ -59,7 +59,7 @@
         simulation.at((long) (seconds * 1000), () -> {
             outage = false;
             data.renewAllLeases(simulation.now());
-            watches.answerChanged();
+            watches.respondToChangedWatches();
         });
     }
 
@@ -68,11 +68,11 @@
         rejectedHosts.add(host);
         simulation.at((long) (seconds * 1000), () -> {
             rejectedHosts.remove(host);
-            watches.answerChanged();
+            watches.respondToChangedWatches();
         });
     }
 
-    private boolean rejects(String host) {
+    private boolean isRejected(String host) {
         return outage || rejectedHosts.contains(host);
     }
 
@@ -138,18 +138,18 @@
 
     void handle(String from, Http.Request request, Consumer<Http.Response> reply) {
         String path = request.path();
-        if (rejects(from)) {
+        if (isRejected(from)) {
             reply.accept(Http.Response.of(503, new byte[0]));
         } else if (path.startsWith("/follow")) {
-            watches.open(from, query(path), reply);
+            watches.open(from, queryParameters(path), reply);
         } else if (path.startsWith("/keys/")) {
             get(path.substring(6), reply);
         } else if (path.startsWith("/keys?")) {
             if (!listingsDropped) {
-                list(query(path), reply);
+                list(queryParameters(path), reply);
             }
         } else if (path.equals("/commit")) {
-            receiveCommit(Json.read(request.body()), reply);
+            handleCommit(Json.read(request.body()), reply);
         } else {
             handleLease(request, reply);
         }
@@ -160,27 +160,27 @@
         if (path.equals("/leases")) {
             long ttlMs = Json.read(request.body()).path("ttlMs").asLong();
             long lease = data.createLease(ttlMs, simulation.now());
-            answer(reply, 200, Json.object().put("ticket", lease));
+            respond(reply, 200, Json.object().put("ticket", lease));
         } else if (request.method().equals("DELETE")) {
-            endLease(leaseOf(path));
-            answer(reply, 200, Json.object());
+            deleteLease(leaseInPath(path));
+            respond(reply, 200, Json.object());
         } else if (!path.endsWith("/touch")) {
-            answer(reply, 400, Json.object());
-        } else if (data.hasLease(leaseOf(path))) {
-            data.renewLease(leaseOf(path), simulation.now());
-            answer(reply, 200, Json.object());
+            respond(reply, 400, Json.object());
+        } else if (data.hasLease(leaseInPath(path))) {
+            data.renewLease(leaseInPath(path), simulation.now());
+            respond(reply, 200, Json.object());
         } else {
-            answer(reply, 404, Json.object());
+            respond(reply, 404, Json.object());
         }
     }
 
-    private static long leaseOf(String path) {
+    private static long leaseInPath(String path) {
         return Long.parseLong(path.split("/")[2]);
     }
 
-    private void endLease(long lease) {
-        data.endLease(lease);
-        watches.answerChanged();
+    private void deleteLease(long lease) {
+        data.deleteLease(lease);
+        watches.respondToChangedWatches();
     }
 
     private void get(String key, Consumer<Http.Response> reply) {
@@ -189,21 +189,21 @@
                         value -> {
                             ObjectNode body = Json.object().put("key", key).put("stamp", value.revision());
                             body.set("v", value.json());
-                            answer(reply, 200, body);
+                            respond(reply, 200, body);
                         },
-                        () -> answer(reply, 404, Json.object().put("ledger", data.revision())));
+                        () -> respond(reply, 404, Json.object().put("ledger", data.revision())));
     }
 
     private void list(Map<String, String> query, Consumer<Http.Response> reply) {
         ObjectNode body = Json.object().put("ledger", data.revision());
         ArrayNode pairs = body.putArray("pairs");
-        boolean more = false;
-        int limit = Integer.parseInt(query.getOrDefault("most", "1000"));
+        boolean hasNext = false;
+        int pageSize = Integer.parseInt(query.getOrDefault("most", "1000"));
         for (Map.Entry<String, StoredValue> entry :
-                data.after(query.getOrDefault("after", "")).entrySet()) {
+                data.entriesAfter(query.getOrDefault("after", "")).entrySet()) {
             if (entry.getKey().startsWith(query.get("prefix"))) {
-                if (pairs.size() == limit) {
-                    more = true;
+                if (pairs.size() == pageSize) {
+                    hasNext = true;
                     break;
                 }
                 pairs.addObject()
@@ -212,24 +212,24 @@
                         .set("v", entry.getValue().json());
             }
         }
-        body.put("hasNext", more);
-        answer(reply, 200, body);
+        body.put("hasNext", hasNext);
+        respond(reply, 200, body);
     }
 
     // --- commits
 
-    private void receiveCommit(JsonNode body, Consumer<Http.Response> reply) {
+    private void handleCommit(JsonNode body, Consumer<Http.Response> reply) {
         if (commitsToDelay > 0) {
             commitsToDelay--;
-            simulation.at(5_000, () -> commit(body, lost -> {}));
+            simulation.at(5_000, () -> commit(body, response -> {}));
         } else if (delayedCommitShare > 0 && simulation.random.nextDouble() < delayedCommitShare) {
             delayedCommits++;
             simulation.at(
                     2_000 + simulation.random.nextInt(10_000),
-                    () -> commit(body, lost -> delayedCommitsApplied += lost.status() == 200 ? 1 : 0));
+                    () -> commit(body, response -> delayedCommitsApplied += response.status() == 200 ? 1 : 0));
         } else if (commitResponsesToLose > 0) {
             commitResponsesToLose--;
-            commit(body, lost -> {});
+            commit(body, response -> {});
         } else {
             commit(body, reply);
         }
@@ -238,26 +238,26 @@
     private void commit(JsonNode body, Consumer<Http.Response> reply) {
         if (exceedsLimits(body)) {
             oversizedCommits++;
-            answer(reply, 400, Json.object().put("error", "too large"));
+            respond(reply, 400, Json.object().put("error", "too large"));
             return;
         }
         for (JsonNode write : body.path("writes")) {
             if (write.has("ticket") && !data.hasLease(write.path("ticket").asLong())) {
-                answer(reply, 400, Json.object().put("error", "no such lease"));
+                respond(reply, 400, Json.object().put("error", "no such lease"));
                 return;
             }
         }
         ArrayNode failed = failedConditions(body.path("if"));
         if (!failed.isEmpty()) {
-            ObjectNode answer = Json.object().put("ledger", data.revision());
-            answer.set("failed", failed);
-            answer(reply, 409, answer);
+            ObjectNode response = Json.object().put("ledger", data.revision());
+            response.set("failed", failed);
+            respond(reply, 409, response);
             return;
         }
         if (!body.path("writes").isEmpty()) {
             apply(body.path("writes"));
         }
-        answer(reply, 200, Json.object().put("ledger", data.revision()));
+        respond(reply, 200, Json.object().put("ledger", data.revision()));
     }
 
     private boolean exceedsLimits(JsonNode body) {
@@ -275,8 +275,8 @@
         ArrayNode failed = Json.array();
         for (JsonNode condition : conditions) {
             String key = condition.path("key").asText();
-            long actual = data.get(key).map(StoredValue::revision).orElse(0L);
-            if (actual != condition.path("stamp").asLong()) {
+            long revision = data.get(key).map(StoredValue::revision).orElse(0L);
+            if (revision != condition.path("stamp").asLong()) {
                 failed.add(key);
             }
         }
@@ -295,19 +295,19 @@
                 data.remove(write.path("remove").asText());
             }
         }
-        watches.answerChanged();
+        watches.respondToChangedWatches();
     }
 
-    private static Map<String, String> query(String path) {
-        Map<String, String> query = new HashMap<>();
-        for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
-            int equals = part.indexOf('=');
-            query.put(part.substring(0, equals), part.substring(equals + 1));
+    private static Map<String, String> queryParameters(String path) {
+        Map<String, String> parameters = new HashMap<>();
+        for (String parameter : path.substring(path.indexOf('?') + 1).split("&")) {
+            int separator = parameter.indexOf('=');
+            parameters.put(parameter.substring(0, separator), parameter.substring(separator + 1));
         }
-        return query;
+        return parameters;
     }
 
-    private static void answer(Consumer<Http.Response> reply, int status, JsonNode body) {
+    private static void respond(Consumer<Http.Response> reply, int status, JsonNode body) {
         reply.accept(Http.Response.of(status, Json.bytes(body)));
     }
 }
--- a/src/test/java/org/spoolline/simulation/FakeWorker.java
+++ b/src/test/java/org/spoolline/simulation/FakeWorker.java
@@ -16,7 +16,7 @@
     private static final long RETRY_MS = 1_000;
     private static final long LEASE_CHECK_MS = 100;
     /** Without an answered heartbeat for so long, no work is expected to start here. */
-    private static final long SCHEDULABLE_MS = 5_000;
+    private static final long MAX_SCHEDULABLE_HEARTBEAT_AGE_MS = 5_000;
 
     final String name;
     final String type;
@@ -29,11 +29,11 @@
     private long incarnation = 1;
     private long messageNumber;
     private long token;
-    private long leaseFrom;
+    private long leaseRenewedAt;
     private int targetIndex;
     private boolean heartbeatInFlight;
-    private boolean heartbeatDue;
-    private long lastSent = -10_000;
+    private boolean heartbeatRequested;
+    private long lastHeartbeatAt = -10_000;
     /** Every task that starts here fails. */
     public boolean failsEveryTask;
 
@@ -47,7 +47,7 @@
         this.zone = zone;
         this.spot = spot;
         this.tasks = new WorkerTasks(simulation, this);
-        this.leaseFrom = simulation.now();
+        this.leaseRenewedAt = simulation.now();
         this.targetIndex =
                 simulation.random.nextInt(simulation.controllers.names().size());
         checkLeasePeriodically();
@@ -64,7 +64,7 @@
     public void restartAfter(double seconds) {
         losePower();
         simulation.at((long) (seconds * 1000), () -> {
-            if (simulation.cloud.holds(name)) {
+            if (simulation.cloud.hasMachine(name)) {
                 simulation.workers().put(name, new FakeWorker(simulation, name, type, zone, spot));
             }
         });
@@ -83,7 +83,7 @@
     /** The cloud announces that it takes the spot machine back in so many seconds, and does. */
     public void preemptWithNotice(double seconds) {
         preemptionNoticeS = OptionalDouble.of(seconds);
-        statusChanged();
+        requestHeartbeat();
         simulation.at((long) (seconds * 1000), () -> simulation.cloud.remove(name));
     }
 
@@ -111,7 +111,7 @@
                 && !hanging
                 && preemptionNoticeS.isEmpty()
                 && !failsEveryTask
-                && simulation.now() - leaseFrom < SCHEDULABLE_MS;
+                && simulation.now() - leaseRenewedAt < MAX_SCHEDULABLE_HEARTBEAT_AGE_MS;
     }
 
     /** Cores of the machine. */
@@ -152,32 +152,32 @@
     }
 
     private void checkLease() {
-        if (!down && simulation.now() - leaseFrom > LEASE_MS) {
+        if (!down && simulation.now() - leaseRenewedAt > LEASE_MS) {
             tasks.loseAll();
             incarnation++;
-            leaseFrom = simulation.now();
-            statusChanged();
+            leaseRenewedAt = simulation.now();
+            requestHeartbeat();
         }
     }
 
     /** Sends a heartbeat as soon as the interval allows. */
-    void statusChanged() {
-        heartbeatDue = true;
-        long delayMs = Math.max(0, lastSent + MIN_HEARTBEAT_INTERVAL_MS - simulation.now());
+    void requestHeartbeat() {
+        heartbeatRequested = true;
+        long delayMs = Math.max(0, lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL_MS - simulation.now());
         simulation.at(delayMs, () -> {
-            if (heartbeatDue) {
+            if (heartbeatRequested) {
                 sendHeartbeat();
             }
         });
     }
 
     private void sendHeartbeat() {
-        if (down || hanging || heartbeatInFlight || simulation.now() - lastSent < MIN_HEARTBEAT_INTERVAL_MS) {
+        if (down || hanging || heartbeatInFlight || simulation.now() - lastHeartbeatAt < MIN_HEARTBEAT_INTERVAL_MS) {
             return;
         }
         heartbeatInFlight = true;
-        heartbeatDue = false;
-        lastSent = simulation.now();
+        heartbeatRequested = false;
+        lastHeartbeatAt = simulation.now();
         long sentAt = simulation.now();
         long sentIncarnation = incarnation;
         Http.Request request = new Http.Request("POST", "/checkin", "", Json.bytes(heartbeat()));
@@ -187,10 +187,10 @@
                 return;
             }
             if (reply.status() == 200) {
-                accept(Json.read(reply.body()), sentAt, sentIncarnation);
+                applyResponse(Json.read(reply.body()), sentAt, sentIncarnation);
                 simulation.at(2_250 + simulation.random.nextInt(1_500), this::sendHeartbeat);
-                if (heartbeatDue) {
-                    statusChanged();
+                if (heartbeatRequested) {
+                    requestHeartbeat();
                 }
             } else {
                 tryAnotherController(reply);
@@ -228,21 +228,21 @@
     }
 
     /** Renews the lease and carries out commands, unless the response is of an earlier incarnation or token. */
-    private void accept(JsonNode response, long sentAt, long sentIncarnation) {
+    private void applyResponse(JsonNode response, long sentAt, long sentIncarnation) {
         if (sentIncarnation != incarnation
                 || !response.has("baton")
                 || response.path("baton").asLong() < token) {
             return;
         }
-        adoptToken(response.path("baton").asLong());
-        leaseFrom = sentAt;
-        response.path("orders").forEach(tasks::carryOut);
+        adoptTokenIfNewer(response.path("baton").asLong());
+        leaseRenewedAt = sentAt;
+        response.path("orders").forEach(tasks::execute);
     }
 
-    private void adoptToken(long newToken) {
+    private void adoptTokenIfNewer(long newToken) {
         if (newToken > token) {
             token = newToken;
-            statusChanged();
+            requestHeartbeat();
         }
     }
 
@@ -258,8 +258,8 @@
             reply.accept(Http.Response.of(409, new byte[0]));
             return;
         }
-        adoptToken(commandToken);
-        body.path("orders").forEach(tasks::carryOut);
+        adoptTokenIfNewer(commandToken);
+        body.path("orders").forEach(tasks::execute);
         reply.accept(Http.Response.of(200, new byte[0]));
     }
 }
--- a/src/test/java/org/spoolline/simulation/InvariantChecker.java
+++ b/src/test/java/org/spoolline/simulation/InvariantChecker.java
@@ -16,8 +16,8 @@
  * {@link ServiceLevelChecker} checks what must happen in time.
  */
 public final class InvariantChecker {
-    private static final long RESPONSE_TIMEOUT_MS = 4_000;
-    private static final double ROUNDING = 1e-6;
+    private static final long REQUEST_TIMEOUT_MS = 4_000;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
     private static final String DONE = "done";
     private static final String CANCELLED = "aborted";
 
@@ -73,17 +73,18 @@
         return settings().workers().cancelMs();
     }
 
-    void violation(String rule, String what) {
-        violations.add(rule + " at " + simulation.now() / 1000.0 + " s: " + what);
+    void addViolation(String rule, String detail) {
+        violations.add(rule + " at " + simulation.now() / 1000.0 + " s: " + detail);
     }
 
     // --- what tasks do
 
     /** A worker received a launch, which may be as stale as a leadership allows, but no more. */
     void launchReceived(SimulatedTask task) {
-        Long at = cancelledAt.get(task.jobId());
-        if (at != null && simulation.now() > at + settings().leadershipMs() + RESPONSE_TIMEOUT_MS) {
-            violation("started_cancelled", task.taskId() + ", cancelled at " + at / 1000.0 + " s");
+        Long cancelledAtMs = cancelledAt.get(task.jobId());
+        if (cancelledAtMs != null
+                && simulation.now() > cancelledAtMs + settings().leadershipMs() + REQUEST_TIMEOUT_MS) {
+            addViolation("started_cancelled", task.taskId() + ", cancelled at " + cancelledAtMs / 1000.0 + " s");
         }
     }
 
@@ -93,48 +94,48 @@
         firstStart.putIfAbsent(task.jobId(), simulation.now());
         SimulatedJob job = simulation.users.job(task.jobId());
         if (job == null) {
-            violation("invented", task.taskId());
+            addViolation("invented", task.taskId());
             return;
         }
         for (String dependency : job.dependencies()) {
             if (!isComplete(dependency)) {
-                violation("too_early", task.taskId() + " started before " + dependency + " was done");
+                addViolation("too_early", task.taskId() + " started before " + dependency + " was done");
             }
         }
         checkAgainstRunning(task, job);
         checkMachine(task, job);
         checkCancelBound(task);
         running.add(task);
-        Long at = cancelledAt.get(task.jobId());
-        if (at != null) {
-            simulation.at(Math.max(0, at + cancelMs() + 1 - simulation.now()), () -> checkTerminated(task));
+        Long cancelledAtMs = cancelledAt.get(task.jobId());
+        if (cancelledAtMs != null) {
+            simulation.at(Math.max(0, cancelledAtMs + cancelMs() + 1 - simulation.now()), () -> checkTerminated(task));
         }
     }
 
     private void checkAgainstRunning(SimulatedTask task, SimulatedJob job) {
-        double used = job.cores();
-        int inZone = 1;
+        double usedCores = job.cores();
+        int jobTasksInZone = 1;
         for (SimulatedTask other : running) {
             SimulatedJob otherJob = simulation.users.job(other.jobId());
             if (other.taskId().equals(task.taskId())) {
-                violation("ran_twice", task.taskId() + " on " + task.worker().name + " and " + other.worker().name);
+                addViolation("ran_twice", task.taskId() + " on " + task.worker().name + " and " + other.worker().name);
             }
             if (otherJob.team().equals(job.team())) {
-                used += otherJob.cores();
+                usedCores += otherJob.cores();
             }
             if (other.jobId().equals(task.jobId())) {
                 boolean sameZone = other.worker().zone.equals(task.worker().zone);
-                inZone += sameZone ? 1 : 0;
+                jobTasksInZone += sameZone ? 1 : 0;
                 if (job.requiresOneZone() && !sameZone) {
-                    violation("wrong_place", task.taskId() + " in another zone than its job");
+                    addViolation("wrong_place", task.taskId() + " in another zone than its job");
                 }
             }
         }
-        if (job.requiresSpread() && inZone > (job.tasks() + 1) / 2) {
-            violation("wrong_place", task.taskId() + " makes too many in one zone");
+        if (job.requiresSpread() && jobTasksInZone > (job.tasks() + 1) / 2) {
+            addViolation("wrong_place", task.taskId() + " makes too many in one zone");
         }
-        if (used > quotaCores(job) + ROUNDING) {
-            violation("quota", job.team() + " uses " + used);
+        if (usedCores > quotaCores(job) + ROUNDING_TOLERANCE) {
+            addViolation("quota", job.team() + " uses " + usedCores);
         }
     }
 
@@ -147,20 +148,20 @@
         boolean otherZone = job.zone() != null && !job.zone().equals(worker.zone);
         boolean otherType = job.type() != null && !job.type().equals(worker.type);
         if (otherZone || otherType || !job.allowsSpot() && worker.spot) {
-            violation("wrong_place", task.taskId() + " on " + worker.name);
+            addViolation("wrong_place", task.taskId() + " on " + worker.name);
         }
     }
 
     private void checkCancelBound(SimulatedTask task) {
-        Long at = cancelledAt.get(task.jobId());
-        if (at != null && simulation.now() > at + cancelMs()) {
-            violation("ran_cancelled", task.taskId());
+        Long cancelledAtMs = cancelledAt.get(task.jobId());
+        if (cancelledAtMs != null && simulation.now() > cancelledAtMs + cancelMs()) {
+            addViolation("ran_cancelled", task.taskId());
         }
     }
 
     private void checkTerminated(SimulatedTask task) {
         if (running.contains(task)) {
-            violation("ran_cancelled", task.taskId() + " is still on " + task.worker().name);
+            addViolation("ran_cancelled", task.taskId() + " is still on " + task.worker().name);
         }
     }
 
@@ -186,57 +187,57 @@
 
     /** A job that can never run, or lacks a field, was accepted. */
     void invalidJobAccepted(String jobId) {
-        violation("accepted_odd", jobId);
+        addViolation("accepted_odd", jobId);
     }
 
     /** An accepted job was rejected or not found. */
-    void jobForgotten(String jobId, int responseStatus) {
-        violation("forgotten", jobId + " got " + responseStatus);
+    void acceptedJobLost(String jobId, int responseStatus) {
+        addViolation("forgotten", jobId + " got " + responseStatus);
     }
 
     /** A job that nobody submitted was found. */
-    void jobInvented(String jobId) {
-        violation("invented", jobId);
+    void unknownJobFound(String jobId) {
+        addViolation("invented", jobId);
     }
 
     /** A user was told this status; the response to a request older than the terminal status may arrive after it. */
-    void statusReported(String jobId, String status, long askedAt) {
+    void statusReported(String jobId, String status, long sentAt) {
         SimulatedJob job = simulation.users.job(jobId);
         if (status.equals("pending") || status.equals("running")) {
-            checkNotOrphaned(job, status);
+            checkDependenciesNotCancelled(job, status);
         }
-        String before = terminalStatus.get(jobId);
-        if (before != null && !before.equals(status) && askedAt > terminalSince.get(jobId)) {
-            violation("went_back", jobId + " was " + before + ", now " + status);
+        String previousStatus = terminalStatus.get(jobId);
+        if (previousStatus != null && !previousStatus.equals(status) && sentAt > terminalSince.get(jobId)) {
+            addViolation("went_back", jobId + " was " + previousStatus + ", now " + status);
         }
         if (status.equals(DONE)) {
-            becomeTerminal(jobId, status);
+            recordTerminalStatus(jobId, status);
             if (completedCount(jobId) < job.tasks()) {
-                violation("not_done", jobId);
+                addViolation("not_done", jobId);
             }
         } else if (status.equals(CANCELLED)) {
-            becomeTerminal(jobId, status);
-            cancellationReported(job);
+            recordTerminalStatus(jobId, status);
+            checkReportedCancellation(job);
         }
     }
 
-    private void checkNotOrphaned(SimulatedJob job, String status) {
-        for (String ancestor : ancestors(job)) {
-            Long at = cancelledAt.get(ancestor);
-            if (at != null && simulation.now() > at + cancelMs()) {
-                violation("orphaned", job.jobId() + " is " + status + " though " + ancestor + " is cancelled");
+    private void checkDependenciesNotCancelled(SimulatedJob job, String status) {
+        for (String dependency : transitiveDependencies(job)) {
+            Long cancelledAtMs = cancelledAt.get(dependency);
+            if (cancelledAtMs != null && simulation.now() > cancelledAtMs + cancelMs()) {
+                addViolation("orphaned", job.jobId() + " is " + status + " though " + dependency + " is cancelled");
             }
         }
     }
 
-    private void becomeTerminal(String jobId, String status) {
+    private void recordTerminalStatus(String jobId, String status) {
         terminalSince.putIfAbsent(jobId, simulation.now());
         terminalStatus.put(jobId, status);
     }
 
-    private void cancellationReported(SimulatedJob job) {
-        if (!cancelRequestedForJobOrDependency(job)) {
-            violation("went_back", job.jobId() + " was not cancelled by its user");
+    private void checkReportedCancellation(SimulatedJob job) {
+        if (!isCancellationExpected(job)) {
+            addViolation("went_back", job.jobId() + " was not cancelled by its user");
         }
         if (cancelledAt.putIfAbsent(job.jobId(), simulation.now()) == null) {
             for (SimulatedTask task : List.copyOf(running)) {
@@ -248,11 +249,11 @@
     }
 
     /** True when its user cancelled the job, or one that it depends on and that was not reported done. */
-    private boolean cancelRequestedForJobOrDependency(SimulatedJob job) {
+    private boolean isCancellationExpected(SimulatedJob job) {
         return job.cancelRequested()
-                || ancestors(job).stream()
-                        .anyMatch(ancestor -> simulation.users.job(ancestor).cancelRequested()
-                                && !DONE.equals(terminalStatus.get(ancestor)));
+                || transitiveDependencies(job).stream()
+                        .anyMatch(dependency -> simulation.users.job(dependency).cancelRequested()
+                                && !DONE.equals(terminalStatus.get(dependency)));
     }
 
     /** A job that is cancelled without its user's request needs a dependency that is cancelled in the end. */
@@ -260,8 +261,9 @@
         for (SimulatedJob job : simulation.users.jobs()) {
             if (CANCELLED.equals(terminalStatus.get(job.jobId()))
                     && !job.cancelRequested()
-                    && ancestors(job).stream().noneMatch(a -> CANCELLED.equals(terminalStatus.get(a)))) {
-                violation("went_back", job.jobId() + " is cancelled, but no job that it needs");
+                    && transitiveDependencies(job).stream()
+                            .noneMatch(dependency -> CANCELLED.equals(terminalStatus.get(dependency)))) {
+                addViolation("went_back", job.jobId() + " is cancelled, but no job that it needs");
             }
         }
     }
@@ -284,28 +286,29 @@
 
     /** When the job could first start: at its submission, or with the completion of its last dependency. */
     long startableAt(SimulatedJob job) {
-        long at = job.submittedAt();
+        long startableAtMs = job.submittedAt();
         for (String dependency : job.dependencies()) {
-            at = Math.max(at, completeSince.getOrDefault(dependency, Long.MAX_VALUE));
+            startableAtMs = Math.max(startableAtMs, completeSince.getOrDefault(dependency, Long.MAX_VALUE));
         }
-        return at;
+        return startableAtMs;
     }
 
     /** True when a user was told that the job, or one that it depends on, is cancelled. */
-    boolean isCancelledWithDependencies(SimulatedJob job) {
-        return cancelledAt.containsKey(job.jobId()) || ancestors(job).stream().anyMatch(cancelledAt::containsKey);
+    boolean isJobOrDependencyCancelled(SimulatedJob job) {
+        return cancelledAt.containsKey(job.jobId())
+                || transitiveDependencies(job).stream().anyMatch(cancelledAt::containsKey);
     }
 
     /** All jobs that this one depends on, directly or through others. */
-    private Set<String> ancestors(SimulatedJob job) {
-        Set<String> all = new LinkedHashSet<>();
+    private Set<String> transitiveDependencies(SimulatedJob job) {
+        Set<String> dependencies = new LinkedHashSet<>();
         Deque<String> toVisit = new ArrayDeque<>(job.dependencies());
         while (!toVisit.isEmpty()) {
             String jobId = toVisit.remove();
-            if (all.add(jobId)) {
+            if (dependencies.add(jobId)) {
                 toVisit.addAll(simulation.users.job(jobId).dependencies());
             }
         }
-        return all;
+        return dependencies;
     }
 }
--- a/src/test/java/org/spoolline/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/spoolline/simulation/InvariantCheckerTest.java
@@ -15,12 +15,12 @@
 class InvariantCheckerTest {
     /** A scheduler that accepts jobs and then does nothing. */
     @Test
-    void detectsSchedulerThatServesNobody() {
+    void detectsUnansweredAndUnservedJobs() {
         Simulation simulation = new Simulation(5);
         simulation.run(3);
         simulation.users.submit(simulation.users.job("blue", "batch", 2, 1, 5).with("lane", "a"));
         simulation.run(5);
-        simulation.controllers.replaceWith((request, answer) -> answer.accept(new Http.Response(503, new byte[0], 1)));
+        simulation.controllers.replaceWith((request, reply) -> reply.accept(new Http.Response(503, new byte[0], 1)));
         simulation.invariants.faultsEnded();
         simulation.run(260);
         simulation.invariants.checkAtEnd();
@@ -29,25 +29,27 @@
         }
         for (String group : List.of("class a", "team blue", "largest of a")) {
             assertTrue(
-                    simulation.invariants.violations().stream().anyMatch(b -> b.contains(group + ": 0 of 1")), group);
+                    simulation.invariants.violations().stream()
+                            .anyMatch(violation -> violation.contains(group + ": 0 of 1")),
+                    group);
         }
     }
 
     /** A scheduler that starts tasks everywhere and reports any status. */
     @Test
-    void detectsDuplicateMisplacedAndContradictedTasks() {
+    void detectsDuplicateAttemptsWrongPlacementAndContradictoryStatus() {
         Simulation simulation = new Simulation(5);
         simulation.run(3);
         SimulatedJob job = simulation.users.submit(
                 simulation.users.job("blue", "batch", 2, 8, 500).with("yard", "a"));
         simulation.run(5);
-        simulation.controllers.replaceWith((request, answer) -> {
+        simulation.controllers.replaceWith((request, reply) -> {
             if (request.path().equals("/checkin")) {
-                answer.accept(launchOnEveryWorker(Json.read(request.body()), job));
+                reply.accept(launchFirstTask(Json.read(request.body()), job));
             } else if (request.path().endsWith("/abort")) {
-                answer.accept(status(job, "aborted"));
+                reply.accept(status(job, "aborted"));
             } else {
-                answer.accept(status(job, "done"));
+                reply.accept(status(job, "done"));
             }
         });
         for (String zone : List.of("a", "a", "b")) {
@@ -62,10 +64,13 @@
         }
     }
 
-    private static Http.Response launchOnEveryWorker(JsonNode heartbeat, SimulatedJob job) {
+    private static Http.Response launchFirstTask(JsonNode heartbeat, SimulatedJob job) {
         ObjectNode body = Json.object().put("baton", 1L << 40);
-        ArrayNode orders = body.putArray("orders");
-        orders.addObject().put("verb", "launch").put("slip", job.jobId() + "/0").put("try", 77);
+        ArrayNode commands = body.putArray("orders");
+        commands.addObject()
+                .put("verb", "launch")
+                .put("slip", job.jobId() + "/0")
+                .put("try", 77);
         return Http.Response.of(200, Json.bytes(body));
     }
 
@@ -83,19 +88,19 @@
 
     private static void assertViolated(Simulation simulation, String rule) {
         assertTrue(
-                simulation.invariants.violations().stream().anyMatch(b -> b.startsWith(rule)),
+                simulation.invariants.violations().stream().anyMatch(violation -> violation.startsWith(rule)),
                 rule + " in " + simulation.invariants.violations());
     }
 
     @Test
-    void detectsMostlyUnansweredPolls() {
+    void detectsMajorityOfUnansweredPolls() {
         Simulation simulation = new Simulation(5);
-        int[] asked = new int[1];
-        simulation.controllers.replaceWith((request, answer) -> answer.accept(
+        int[] polls = new int[1];
+        simulation.controllers.replaceWith((request, reply) -> reply.accept(
                 request.path().equals("/submissions")
                         ? Http.Response.of(201, Json.bytes(Json.object().put("status", "pending")))
                         : Http.Response.of(
-                                asked[0]++ % 3 == 0 ? 200 : 503,
+                                polls[0]++ % 3 == 0 ? 200 : 503,
                                 Json.bytes(Json.object().put("status", "pending")))));
         simulation.users.submit(simulation.users.job("red", "batch", 3, 2, 5));
         simulation.run(100);
@@ -105,9 +110,9 @@
 
     /** Accepts everything, and starts nothing although workers send heartbeats. */
     @Test
-    void detectsWaitingDespiteCapacityAndInvalidJobsAccepted() {
+    void detectsJobWaitingDespiteCapacityAndAcceptedInvalidJob() {
         Simulation simulation = new Simulation(5);
-        simulation.controllers.replaceWith((request, answer) -> answer.accept(
+        simulation.controllers.replaceWith((request, reply) -> reply.accept(
                 request.path().equals("/checkin")
                         ? Http.Response.of(200, Json.bytes(Json.object().put("baton", 1)))
                         : Http.Response.of(200, Json.bytes(Json.object().put("status", "pending")))));
@@ -121,34 +126,35 @@
         assertViolated(simulation, "left_waiting");
         assertViolated(simulation, "accepted_odd");
         assertTrue(simulation.invariants.violations().stream()
-                .anyMatch(b -> b.startsWith("left_waiting") && b.contains(waiting.jobId())));
+                .anyMatch(violation -> violation.startsWith("left_waiting") && violation.contains(waiting.jobId())));
         assertTrue(
                 simulation.invariants.violations().stream()
-                        .noneMatch(b -> b.startsWith("left_waiting") && b.contains(tooLarge.jobId())),
+                        .noneMatch(violation ->
+                                violation.startsWith("left_waiting") && violation.contains(tooLarge.jobId())),
                 "12 cores don't fit 8");
     }
 
     @Test
-    void detectsStartAfterCancellationQuotaExcessAndUnknownJob() {
+    void detectsLaunchAfterCancellationQuotaExcessAndUnknownJob() {
         Simulation simulation = new Simulation(5);
         boolean[] launching = new boolean[1];
         SimulatedJob job = simulation.users.job("red", "batch", 5, 8, 500);
-        simulation.controllers.replaceWith((request, answer) -> {
+        simulation.controllers.replaceWith((request, reply) -> {
             if (!request.path().equals("/checkin")) {
-                answer.accept(status(job, request.path().endsWith("/abort") ? "aborted" : "pending"));
+                reply.accept(status(job, request.path().endsWith("/abort") ? "aborted" : "pending"));
                 return;
             }
             JsonNode heartbeat = Json.read(request.body());
             String index = heartbeat.path("spooler").asText().substring(2);
             ObjectNode body = Json.object().put("baton", 1);
-            ArrayNode orders = body.putArray("orders");
+            ArrayNode commands = body.putArray("orders");
             if (launching[0]) {
-                orders.addObject()
+                commands.addObject()
                         .put("verb", "launch")
                         .put("slip", job.jobId() + "/" + index)
                         .put("try", 1);
             }
-            answer.accept(Http.Response.of(200, Json.bytes(body)));
+            reply.accept(Http.Response.of(200, Json.bytes(body)));
         });
         addMachines(simulation, 5);
         simulation.users.submit(job);
@@ -164,17 +170,17 @@
 
     /** A scheduler that ignores dependencies. */
     @Test
-    void detectsEarlyStartAndOrphanedDependent() {
+    void detectsStartBeforeDependencyAndDependentOfCancelledJob() {
         Simulation simulation = new Simulation(1);
         simulation.run(3);
         SimulatedJob root = simulation.users.submit(simulation.users.job("blue", "batch", 1, 1, 100));
         simulation.run(20);
-        SimulatedJob ignored = simulation.users.job("blue", "batch", 1, 1, 5);
-        simulation.users.submit(ignored);
-        ignored.dependingOn(root);
+        SimulatedJob dependent = simulation.users.job("blue", "batch", 1, 1, 5);
+        simulation.users.submit(dependent);
+        dependent.dependingOn(root);
         simulation.run(20);
         assertTrue(
-                simulation.invariants.violations().stream().anyMatch(b -> b.startsWith("too_early")),
+                simulation.invariants.violations().stream().anyMatch(violation -> violation.startsWith("too_early")),
                 simulation.invariants.violations()::toString);
         simulation.users.cancel(root);
         simulation.run(5);
@@ -182,7 +188,7 @@
                 reply.accept(Http.Response.of(200, Json.bytes(Json.object().put("status", "pending")))));
         simulation.run(60);
         assertTrue(
-                simulation.invariants.violations().stream().anyMatch(b -> b.startsWith("orphaned")),
+                simulation.invariants.violations().stream().anyMatch(violation -> violation.startsWith("orphaned")),
                 simulation.invariants.violations()::toString);
     }
 }
--- a/src/test/java/org/spoolline/simulation/KeyValueData.java
+++ b/src/test/java/org/spoolline/simulation/KeyValueData.java
@@ -19,7 +19,7 @@
     record Change(long revision, String key, JsonNode value) {}
 
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
-    private final List<Change> log = new ArrayList<>();
+    private final List<Change> changeLog = new ArrayList<>();
     private final Map<Long, Long> leaseExpiries = new LinkedHashMap<>();
     private final Map<Long, Long> leaseTtls = new HashMap<>();
     private long revision;
@@ -34,15 +34,15 @@
     }
 
     /** All values with a later key, in order of key. */
-    NavigableMap<String, StoredValue> after(String key) {
+    NavigableMap<String, StoredValue> entriesAfter(String key) {
         return values.tailMap(key, false);
     }
 
     /** The changes after a revision to keys with the prefix, oldest first. */
-    List<Change> changesSince(long after, String prefix) {
+    List<Change> changesSince(long afterRevision, String prefix) {
         List<Change> changes = new ArrayList<>();
-        for (Change change : log) {
-            if (change.revision() > after && change.key().startsWith(prefix)) {
+        for (Change change : changeLog) {
+            if (change.revision() > afterRevision && change.key().startsWith(prefix)) {
                 changes.add(change);
             }
         }
@@ -56,12 +56,12 @@
 
     void set(String key, JsonNode value, long lease) {
         values.put(key, new StoredValue(value, revision, lease));
-        log.add(new Change(revision, key, value));
+        changeLog.add(new Change(revision, key, value));
     }
 
     void remove(String key) {
         if (values.remove(key) != null) {
-            log.add(new Change(revision, key, null));
+            changeLog.add(new Change(revision, key, null));
         }
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Ends a lease and removes its values in a new revision. */
-    void endLease(long lease) {
+    void deleteLease(long lease) {
         leaseExpiries.remove(lease);
         beginRevision();
         for (String key : List.copyOf(values.keySet())) {
--- a/src/test/java/org/spoolline/simulation/KeyValueWatches.java
+++ b/src/test/java/org/spoolline/simulation/KeyValueWatches.java
@@ -19,84 +19,84 @@
 
     /** An open long poll for changes; it is answered once. */
     private static final class Watch {
-        private final String from;
+        private final String host;
         private final String prefix;
-        private final long after;
+        private final long afterRevision;
         private final Consumer<Http.Response> reply;
-        private boolean answered;
+        private boolean responded;
 
-        Watch(String from, String prefix, long after, Consumer<Http.Response> reply) {
-            this.from = from;
+        Watch(String host, String prefix, long afterRevision, Consumer<Http.Response> reply) {
+            this.host = host;
             this.prefix = prefix;
-            this.after = after;
+            this.afterRevision = afterRevision;
             this.reply = reply;
         }
     }
 
     private final Simulation simulation;
     private final KeyValueData data;
-    private final Predicate<String> rejectsHost;
+    private final Predicate<String> isHostRejected;
     private final List<Watch> watches = new ArrayList<>();
-    private final Set<String> hostsWithoutResponses = new HashSet<>();
+    private final Set<String> hostsLosingResponses = new HashSet<>();
 
     /** Watches of hosts that are rejected at present stay open. */
-    KeyValueWatches(Simulation simulation, KeyValueData data, Predicate<String> rejectsHost) {
+    KeyValueWatches(Simulation simulation, KeyValueData data, Predicate<String> isHostRejected) {
         this.simulation = simulation;
         this.data = data;
-        this.rejectsHost = rejectsHost;
+        this.isHostRejected = isHostRejected;
     }
 
     /** For so many seconds the responses to a host are lost. */
     void loseResponsesTo(String host, double seconds) {
-        hostsWithoutResponses.add(host);
-        simulation.at((long) (seconds * 1000), () -> hostsWithoutResponses.remove(host));
+        hostsLosingResponses.add(host);
+        simulation.at((long) (seconds * 1000), () -> hostsLosingResponses.remove(host));
     }
 
     /** Opens a watch on the query's prefix after the query's revision, for the query's time. */
-    void open(String from, Map<String, String> query, Consumer<Http.Response> reply) {
-        Watch watch = new Watch(from, query.get("prefix"), Long.parseLong(query.get("after")), reply);
+    void open(String host, Map<String, String> query, Consumer<Http.Response> reply) {
+        Watch watch = new Watch(host, query.get("prefix"), Long.parseLong(query.get("after")), reply);
         watches.add(watch);
         simulation.at(Long.parseLong(query.get("waitMs")), () -> timeOut(watch));
-        answerIfChanged(watch);
+        respondIfChanged(watch);
     }
 
     /** Answers all watches that have seen no change before and see one now. */
-    void answerChanged() {
-        List.copyOf(watches).forEach(this::answerIfChanged);
+    void respondToChangedWatches() {
+        List.copyOf(watches).forEach(this::respondIfChanged);
     }
 
-    private void answerIfChanged(Watch watch) {
-        if (watch.answered || rejectsHost.test(watch.from)) {
+    private void respondIfChanged(Watch watch) {
+        if (watch.responded || isHostRejected.test(watch.host)) {
             return;
         }
-        List<Change> changes = data.changesSince(watch.after, watch.prefix);
+        List<Change> changes = data.changesSince(watch.afterRevision, watch.prefix);
         if (!changes.isEmpty()) {
-            answer(watch, changes);
+            respond(watch, changes);
         }
     }
 
     /** Answers the watch with or without changes, once its host is not rejected. */
     private void timeOut(Watch watch) {
-        if (watch.answered) {
+        if (watch.responded) {
             return;
         }
-        if (rejectsHost.test(watch.from)) {
+        if (isHostRejected.test(watch.host)) {
             simulation.at(REJECTED_RETRY_MS, () -> timeOut(watch));
             return;
         }
-        answer(watch, data.changesSince(watch.after, watch.prefix));
+        respond(watch, data.changesSince(watch.afterRevision, watch.prefix));
     }
 
-    private void answer(Watch watch, List<Change> changes) {
-        watch.answered = true;
+    private void respond(Watch watch, List<Change> changes) {
+        watch.responded = true;
         watches.remove(watch);
-        if (hostsWithoutResponses.contains(watch.from)) {
+        if (hostsLosingResponses.contains(watch.host)) {
             return;
         }
         ObjectNode body = Json.object().put("ledger", data.revision());
-        ArrayNode log = body.putArray("log");
+        ArrayNode events = body.putArray("log");
         for (Change change : changes) {
-            ObjectNode event = log.addObject().put("stamp", change.revision());
+            ObjectNode event = events.addObject().put("stamp", change.revision());
             if (change.value() == null) {
                 event.put("remove", change.key());
             } else {
--- a/src/test/java/org/spoolline/simulation/Network.java
+++ b/src/test/java/org/spoolline/simulation/Network.java
@@ -25,9 +25,9 @@
     static final String USERS = "users";
 
     private static final String HEARTBEAT_PATH = "/checkin";
-    private static final int USUAL_DELAY_MS = 8;
+    private static final int DEFAULT_DELAY_MS = 8;
     private static final int SLOW_DELAY_MS = 400;
-    private static final int RELEASE_DELAY_MS = 20;
+    private static final int RECONNECT_DELAY_MS = 20;
     private static final int MIN_DUPLICATE_DELAY_MS = 1_000;
 
     /** A request on its way to the address {@code target}, which is {@code host:port}. */
@@ -48,14 +48,14 @@
     private final EventQueue events;
     private final SplittableRandom random;
     private final Receiver receiver;
-    private final Set<String> infrastructure = new HashSet<>(Set.of(KEY_VALUE_STORE, CLOUD, USERS));
+    private final Set<String> nonWorkerHosts = new HashSet<>(Set.of(KEY_VALUE_STORE, CLOUD, USERS));
     private final Map<String, LinkState> links = new HashMap<>();
     private final Map<String, List<Runnable>> delayed = new HashMap<>();
     private final Set<String> slowHosts = new HashSet<>();
     private final Set<String> blockedOutbound = new HashSet<>();
     private final Map<String, Integer> requestsToWorkers = new HashMap<>();
     private int peakRequestsToWorkers;
-    private long duplicatesUpToMs;
+    private long duplicateDelaySpreadMs;
     private Optional<TraceDigest> digest;
 
     Network(
@@ -68,7 +68,7 @@
         this.random = random;
         this.receiver = receiver;
         this.digest = digest;
-        infrastructure.addAll(controllers);
+        nonWorkerHosts.addAll(controllers);
     }
 
     /** From now on every message is added to this digest. */
@@ -81,8 +81,8 @@
         links.put(link(a, b), state);
         links.put(link(b, a), state);
         if (state == LinkState.CONNECTED) {
-            release(link(a, b));
-            release(link(b, a));
+            deliverDelayed(link(a, b));
+            deliverDelayed(link(b, a));
         }
     }
 
@@ -90,14 +90,14 @@
     public void setOneWay(String from, String to, LinkState state) {
         links.put(link(from, to), state);
         if (state == LinkState.CONNECTED) {
-            release(link(from, to));
+            deliverDelayed(link(from, to));
         }
     }
 
     /** For so long the host opens no connections, while requests to it still arrive and are answered. */
     public void blockOutbound(String host, double seconds) {
         blockedOutbound.add(host);
-        events.at((long) (seconds * 1000), () -> blockedOutbound.remove(host));
+        events.schedule((long) (seconds * 1000), () -> blockedOutbound.remove(host));
     }
 
     /** Packets to the host take up to 0.4 s until {@link #restoreSpeed}. */
@@ -111,8 +111,8 @@
     }
 
     /** From now on a duplicate of each heartbeat arrives up to so much later; 0 ends it. */
-    public void duplicateHeartbeats(long upToMs) {
-        duplicatesUpToMs = upToMs;
+    public void duplicateHeartbeats(long delaySpreadMs) {
+        duplicateDelaySpreadMs = delaySpreadMs;
     }
 
     /** The most requests from one host to workers that were open at a time. */
@@ -122,22 +122,23 @@
 
     /** Sends a request from one host to an address; the reply has status 0 when none came in time. */
     void call(String from, String target, Http.Request request, long timeoutMs, Consumer<Http.Reply> done) {
-        Consumer<Http.Reply> traced = digest.map(d -> d.sent(events::now, from, target, request, done))
+        Consumer<Http.Reply> traced = digest.map(
+                        messageDigest -> messageDigest.addRequest(events::now, from, target, request, done))
                 .orElse(done);
         Message message = new Message(from, target, request);
-        OpenRequest open = new OpenRequest(from, isWorker(message.host()), traced);
-        events.at(timeoutMs, () -> open.end(Http.Reply.NONE));
+        OpenRequest openRequest = new OpenRequest(from, isWorker(message.host()), traced);
+        events.schedule(timeoutMs, () -> openRequest.end(Http.Reply.NONE));
         if (blockedOutbound.contains(from)) {
             return;
         }
-        if (duplicatesUpToMs > 0 && request.path().equals(HEARTBEAT_PATH)) {
-            events.at(
-                    MIN_DUPLICATE_DELAY_MS + random.nextLong(duplicatesUpToMs),
-                    () -> receiver.receive(message, ignored -> {}, () -> {}));
+        if (duplicateDelaySpreadMs > 0 && request.path().equals(HEARTBEAT_PATH)) {
+            events.schedule(
+                    MIN_DUPLICATE_DELAY_MS + random.nextLong(duplicateDelaySpreadMs),
+                    () -> receiver.receive(message, response -> {}, () -> {}));
         }
-        Consumer<Http.Response> reply = response ->
-                deliver(message.host(), from, () -> open.end(new Http.Reply(response.status(), response.body())));
-        deliver(from, message.host(), () -> receiver.receive(message, reply, () -> open.end(Http.Reply.NONE)));
+        Consumer<Http.Response> reply = response -> deliver(
+                message.host(), from, () -> openRequest.end(new Http.Reply(response.status(), response.body())));
+        deliver(from, message.host(), () -> receiver.receive(message, reply, () -> openRequest.end(Http.Reply.NONE)));
     }
 
     /** A request without a reply yet; the first reply or the timeout ends it, and what comes later is dropped. */
@@ -172,33 +173,33 @@
         switch (stateOf(from, to)) {
             case LOST -> {}
                 // Delayed packets arrive in order, even if the sender has given up meanwhile.
-            case DELAYED -> delayed.computeIfAbsent(link(from, to), l -> new ArrayList<>())
+            case DELAYED -> delayed.computeIfAbsent(link(from, to), key -> new ArrayList<>())
                     .add(delivery);
-            case CONNECTED -> events.at(
-                    1 + random.nextInt(slowHosts.contains(to) ? SLOW_DELAY_MS : USUAL_DELAY_MS), delivery);
+            case CONNECTED -> events.schedule(
+                    1 + random.nextInt(slowHosts.contains(to) ? SLOW_DELAY_MS : DEFAULT_DELAY_MS), delivery);
         }
     }
 
-    private void release(String link) {
-        List<Runnable> waiting = delayed.remove(link);
-        if (waiting != null) {
-            for (Runnable delivery : waiting) {
-                events.at(1 + random.nextInt(RELEASE_DELAY_MS), delivery);
+    private void deliverDelayed(String link) {
+        List<Runnable> deliveries = delayed.remove(link);
+        if (deliveries != null) {
+            for (Runnable delivery : deliveries) {
+                events.schedule(1 + random.nextInt(RECONNECT_DELAY_MS), delivery);
             }
         }
     }
 
     private LinkState stateOf(String from, String to) {
-        LinkState single = links.getOrDefault(link(from, to), LinkState.CONNECTED);
-        if (single != LinkState.CONNECTED) {
-            return single;
+        LinkState hostState = links.getOrDefault(link(from, to), LinkState.CONNECTED);
+        if (hostState != LinkState.CONNECTED) {
+            return hostState;
         }
-        String group = link(isWorker(from) ? WORKERS : from, isWorker(to) ? WORKERS : to);
-        return links.getOrDefault(group, LinkState.CONNECTED);
+        String workersLink = link(isWorker(from) ? WORKERS : from, isWorker(to) ? WORKERS : to);
+        return links.getOrDefault(workersLink, LinkState.CONNECTED);
     }
 
     private boolean isWorker(String host) {
-        return !infrastructure.contains(host);
+        return !nonWorkerHosts.contains(host);
     }
 
     private static String link(String from, String to) {
--- a/src/test/java/org/spoolline/simulation/Seeds.java
+++ b/src/test/java/org/spoolline/simulation/Seeds.java
@@ -17,24 +17,24 @@
     /** Name of the provider of seeds 1 to 3N. */
     static final String THREE_TIMES_AS_MANY = PROVIDER + "threeTimesAsMany";
 
-    private static final int COUNT = Integer.getInteger("scenario.seeds", 4);
-    private static final Integer ONLY = Integer.getInteger("scenario.seed");
+    private static final int SEED_COUNT = Integer.getInteger("scenario.seeds", 4);
+    private static final Integer SINGLE_SEED = Integer.getInteger("scenario.seed");
 
     private Seeds() {}
 
     static int[] each() {
-        return seeds(COUNT);
+        return seeds(SEED_COUNT);
     }
 
     static int[] twiceAsMany() {
-        return seeds(2 * COUNT);
+        return seeds(2 * SEED_COUNT);
     }
 
     static int[] threeTimesAsMany() {
-        return seeds(3 * COUNT);
+        return seeds(3 * SEED_COUNT);
     }
 
     private static int[] seeds(int count) {
-        return ONLY == null ? IntStream.rangeClosed(1, count).toArray() : new int[] {ONLY};
+        return SINGLE_SEED == null ? IntStream.rangeClosed(1, count).toArray() : new int[] {SINGLE_SEED};
     }
 }
--- a/src/test/java/org/spoolline/simulation/ServiceLevelChecker.java
+++ b/src/test/java/org/spoolline/simulation/ServiceLevelChecker.java
@@ -12,8 +12,8 @@
 final class ServiceLevelChecker {
     private static final long MAX_WAIT_DESPITE_CAPACITY_MS = 90_000;
     private static final long MAX_UNANSWERED_MS = 75_000;
-    private static final long MAX_START_OF_LARGEST_MS = 240_000;
-    private static final double ROUNDING = 1e-6;
+    private static final long MAX_START_DELAY_OF_LARGEST_MS = 240_000;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final Simulation simulation;
     private final InvariantChecker invariants;
@@ -35,14 +35,14 @@
             if (job.accepted()
                     && simulation.now() - Math.max(faultsEndedAt, job.lastAnsweredAt()) > MAX_UNANSWERED_MS
                     && unanswered.add(job.jobId())) {
-                invariants.violation("forgotten", "nobody answers about " + job.jobId());
+                invariants.addViolation("forgotten", "nobody answers about " + job.jobId());
             }
             if (!waitsDespiteCapacity(job)) {
                 waitingDespiteCapacitySince.remove(job.jobId());
             } else if (simulation.now()
                             - waitingDespiteCapacitySince.computeIfAbsent(job.jobId(), id -> simulation.now())
                     == MAX_WAIT_DESPITE_CAPACITY_MS) {
-                invariants.violation("left_waiting", job.jobId() + " waits beside machines with capacity");
+                invariants.addViolation("left_waiting", job.jobId() + " waits beside machines with capacity");
             }
         }
         simulation.at(1_000, () -> checkEverySecond(faultsEndedAt));
@@ -56,24 +56,25 @@
                 || hasLiveTask(job)) {
             return false;
         }
-        Map<String, Integer> tasksThatFit = new HashMap<>();
+        Map<String, Integer> startableTasksByZone = new HashMap<>();
         for (FakeWorker worker : simulation.workers().values()) {
             if (worker.isSchedulable() && worker.fits(job)) {
-                tasksThatFit.merge(
+                startableTasksByZone.merge(
                         job.requiresOneZone() ? worker.zone : "any",
-                        (int) (worker.freeCores() / job.cores() + ROUNDING),
+                        (int) (worker.freeCores() / job.cores() + ROUNDING_TOLERANCE),
                         Integer::sum);
             }
         }
-        int needed = job.isGang() ? job.tasks() : 1;
-        return tasksThatFit.values().stream().anyMatch(fit -> fit >= needed)
-                && coresInUse(job.team()) + needed * job.cores() <= invariants.quotaCores(job) + ROUNDING;
+        int tasksToStart = job.isGang() ? job.tasks() : 1;
+        return startableTasksByZone.values().stream().anyMatch(count -> count >= tasksToStart)
+                && coresInUse(job.team()) + tasksToStart * job.cores()
+                        <= invariants.quotaCores(job) + ROUNDING_TOLERANCE;
     }
 
     private boolean mustBeServed(SimulatedJob job) {
         return job.accepted()
                 && !job.cancelRequested()
-                && !invariants.isCancelledWithDependencies(job)
+                && !invariants.isJobOrDependencyCancelled(job)
                 && !job.failsEverywhere();
     }
 
@@ -89,20 +90,20 @@
     }
 
     private double coresInUse(String team) {
-        double used = 0;
+        double usedCores = 0;
         for (FakeWorker worker : simulation.workers().values()) {
             for (SimulatedTask task : worker.tasks()) {
                 SimulatedJob job = simulation.users.job(task.jobId());
-                used += task.isAlive() && job.team().equals(team) ? job.cores() : 0;
+                usedCores += task.isAlive() && job.team().equals(team) ? job.cores() : 0;
             }
         }
-        return used;
+        return usedCores;
     }
 
     /** Checks that most polls were answered, and that at least half of each group of jobs was served. */
     void checkAtEnd() {
         if (simulation.users.unansweredPolls() * 2 > simulation.users.polls()) {
-            invariants.violation(
+            invariants.addViolation(
                     "mostly_unanswered",
                     simulation.users.unansweredPolls() + " of " + simulation.users.polls() + " polls");
         }
@@ -113,24 +114,24 @@
             if (!mustBeServed(job)) {
                 continue;
             }
-            addTo(groups, "class " + job.jobClass(), job);
-            addTo(groups, "team " + job.team(), job);
+            addToGroup(groups, "class " + job.jobClass(), job);
+            addToGroup(groups, "team " + job.team(), job);
             if (job.tasks() == largestOfClass.get(job.jobClass())) {
-                addTo(groups, "largest of " + job.jobClass(), job);
-                checkStartOfLargest(job);
+                addToGroup(groups, "largest of " + job.jobClass(), job);
+                checkStartDelayOfLargest(job);
             }
         }
         groups.forEach(this::checkGroup);
     }
 
-    private static void addTo(Map<String, List<SimulatedJob>> groups, String group, SimulatedJob job) {
-        groups.computeIfAbsent(group, g -> new ArrayList<>()).add(job);
+    private static void addToGroup(Map<String, List<SimulatedJob>> groups, String group, SimulatedJob job) {
+        groups.computeIfAbsent(group, name -> new ArrayList<>()).add(job);
     }
 
-    private void checkStartOfLargest(SimulatedJob job) {
-        long waitedMs = invariants.firstStartOrNow(job) - invariants.startableAt(job);
-        if (waitedMs > MAX_START_OF_LARGEST_MS) {
-            invariants.violation("begun_late", job.jobId() + ", a largest of " + job.jobClass());
+    private void checkStartDelayOfLargest(SimulatedJob job) {
+        long startDelayMs = invariants.firstStartOrNow(job) - invariants.startableAt(job);
+        if (startDelayMs > MAX_START_DELAY_OF_LARGEST_MS) {
+            invariants.addViolation("begun_late", job.jobId() + ", a largest of " + job.jobClass());
         }
     }
 
@@ -138,7 +139,7 @@
         long served =
                 jobs.stream().filter(job -> invariants.isComplete(job.jobId())).count();
         if (served * 2 < jobs.size()) {
-            invariants.violation("unserved", group + ": " + served + " of " + jobs.size());
+            invariants.addViolation("unserved", group + ": " + served + " of " + jobs.size());
         }
     }
 }
--- a/src/test/java/org/spoolline/simulation/SimulatedGangs.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedGangs.java
@@ -10,8 +10,8 @@
 /** How the members of a gang find one another, run together, and fail together. */
 final class SimulatedGangs {
     private static final long GANG_WAIT_MS = 30_000;
-    private static final long MEMBER_LOSS_CHECK_MS = 500;
-    private static final long MEMBER_LOSS_NOTICED_MS = 2_000;
+    private static final long MEMBER_CHECK_INTERVAL_MS = 500;
+    private static final long MEMBER_LOSS_DETECTION_MS = 2_000;
 
     private final Simulation simulation;
     /** Members that have pulled their image, by job and attempt. */
@@ -30,7 +30,7 @@
         if (members.size() == job.tasks()) {
             for (SimulatedTask member : members) {
                 member.enter(Phase.RUNNING);
-                member.worker().statusChanged();
+                member.worker().requestHeartbeat();
             }
             task.worker().runFor(task, job.gangRunMs());
             checkMembers(task);
@@ -43,10 +43,10 @@
         }
     }
 
-    private void checkMembers(SimulatedTask any) {
-        Set<SimulatedTask> members = members(any);
+    private void checkMembers(SimulatedTask task) {
+        Set<SimulatedTask> members = members(task);
         if (members.stream().allMatch(SimulatedTask::isAlive)) {
-            simulation.at(MEMBER_LOSS_CHECK_MS, () -> checkMembers(any));
+            simulation.at(MEMBER_CHECK_INTERVAL_MS, () -> checkMembers(task));
             return;
         }
         if (members.stream()
@@ -54,7 +54,8 @@
                         member.cause().filter(ExitCause.COMPLETED::equals).isPresent())) {
             return;
         }
-        simulation.at(MEMBER_LOSS_NOTICED_MS, () -> members.forEach(member -> member.exit(ExitCause.GANG_MEMBER_LOST)));
+        simulation.at(
+                MEMBER_LOSS_DETECTION_MS, () -> members.forEach(member -> member.exit(ExitCause.GANG_MEMBER_LOST)));
     }
 
     /** The member that runs for the gang has finished: all members complete, unless one was lost. */
@@ -69,6 +70,6 @@
     }
 
     private Set<SimulatedTask> members(SimulatedTask task) {
-        return membersByAttempt.computeIfAbsent(task.jobId() + "#" + task.attempt(), k -> new LinkedHashSet<>());
+        return membersByAttempt.computeIfAbsent(task.jobId() + "#" + task.attempt(), attempt -> new LinkedHashSet<>());
     }
 }
--- a/src/test/java/org/spoolline/simulation/SimulatedJob.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedJob.java
@@ -9,7 +9,7 @@
 
 /** A job of a simulated user: the submission, what its tasks do beyond it, and what its user was told. */
 public final class SimulatedJob {
-    private static final ObjectMapper VALUES = new ObjectMapper();
+    private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final ObjectNode body;
     private final long runMs;
@@ -32,10 +32,10 @@
 
     /** Sets a field of the submission. */
     public SimulatedJob with(String field, Object value) {
-        if (value instanceof JsonNode tree) {
-            body.set(field, tree);
+        if (value instanceof JsonNode json) {
+            body.set(field, json);
         } else {
-            body.set(field, VALUES.valueToTree(value));
+            body.set(field, MAPPER.valueToTree(value));
         }
         return this;
     }
@@ -143,8 +143,8 @@
     }
 
     /** How long one task of an array runs. */
-    long runMs(int task) {
-        return runMs + task * runTimeStepMs;
+    long runMs(int taskIndex) {
+        return runMs + taskIndex * runTimeStepMs;
     }
 
     /** How long a gang runs. */
--- a/src/test/java/org/spoolline/simulation/SimulatedSettings.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedSettings.java
@@ -31,7 +31,7 @@
     }
 
     /** The settings with which one of the controllers starts now. */
-    Settings of(ControllerProcess process, Collection<ControllerProcess> all) {
+    Settings forController(ControllerProcess process, Collection<ControllerProcess> all) {
         StringBuilder toml = new StringBuilder();
         toml.append("node_name = \"")
                 .append(process.name())
@@ -49,7 +49,7 @@
                         .append("\"\n");
             }
         }
-        toml.append(cluster());
+        toml.append(clusterToml());
         try {
             return SettingsFile.parse(toml.toString());
         } catch (SettingsException e) {
@@ -57,7 +57,7 @@
         }
     }
 
-    private String cluster() {
+    private String clusterToml() {
         return """
                 [services]
                 cloud = "cloud:1"
--- a/src/test/java/org/spoolline/simulation/SimulatedTask.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedTask.java
@@ -100,8 +100,8 @@
         return phase != Phase.EXITED;
     }
 
-    void enter(Phase next) {
-        phase = next;
+    void enter(Phase newPhase) {
+        phase = newPhase;
     }
 
     /** Ends the attempt on command, with or without a checkpoint. */
@@ -111,10 +111,10 @@
     }
 
     /** Ends the attempt, unless it has ended before, and lets its worker send a heartbeat. */
-    void exit(ExitCause why) {
+    void exit(ExitCause exitCause) {
         if (isAlive()) {
-            end(why);
-            worker.statusChanged();
+            end(exitCause);
+            worker.requestHeartbeat();
         }
     }
 
@@ -125,10 +125,10 @@
         }
     }
 
-    private void end(ExitCause why) {
+    private void end(ExitCause exitCause) {
         boolean started = phase != Phase.PULLING_IMAGE;
         phase = Phase.EXITED;
-        cause = Optional.of(why);
+        cause = Optional.of(exitCause);
         if (started) {
             invariants.taskEnded(this);
         }
--- a/src/test/java/org/spoolline/simulation/SimulatedUsers.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedUsers.java
@@ -84,8 +84,8 @@
     /** Submits the job until it is accepted or rejected for good, and polls it from then on. */
     public SimulatedJob submit(SimulatedJob job) {
         Http.Request request = new Http.Request("POST", "/submissions", "", Json.bytes(job.body()));
-        long askedAt = simulation.now();
-        job.markSubmitted(askedAt);
+        long sentAt = simulation.now();
+        job.markSubmitted(sentAt);
         send(request, SUBMIT_TIMEOUT_MS, reply -> {
             boolean rejected = reply.status() == 400 || reply.status() == 422;
             if (reply.status() == 200 || reply.status() == 201) {
@@ -93,10 +93,10 @@
                     simulation.invariants.invalidJobAccepted(job.jobId());
                 }
                 job.markAccepted();
-                receiveStatus(job, reply, askedAt);
+                receiveStatus(job, reply, sentAt);
                 poll(job);
             } else if (rejected && job.accepted()) {
-                simulation.invariants.jobForgotten(job.jobId(), reply.status());
+                simulation.invariants.acceptedJobLost(job.jobId(), reply.status());
             } else if (rejected) {
                 job.markRejected();
             } else {
@@ -125,16 +125,16 @@
     }
 
     private void poll(SimulatedJob job) {
-        long askedAt = simulation.now();
+        long sentAt = simulation.now();
         polls++;
         Http.Request request = new Http.Request("GET", "/submissions/" + job.jobId(), "", new byte[0]);
         send(request, POLL_TIMEOUT_MS, reply -> {
             if (reply.status() == 200) {
-                receiveStatus(job, reply, askedAt);
+                receiveStatus(job, reply, sentAt);
             } else {
                 unansweredPolls++;
                 if (reply.status() == 404) {
-                    simulation.invariants.jobForgotten(job.jobId(), 404);
+                    simulation.invariants.acceptedJobLost(job.jobId(), 404);
                 }
             }
             simulation.at(POLL_INTERVAL_MS, () -> poll(job));
@@ -144,11 +144,11 @@
     /** Cancels the job, until the cancellation is confirmed. */
     public void cancel(SimulatedJob job) {
         job.requestCancel();
-        long askedAt = simulation.now();
+        long sentAt = simulation.now();
         Http.Request request = new Http.Request("POST", "/submissions/" + job.jobId() + "/abort", "", new byte[0]);
         send(request, SUBMIT_TIMEOUT_MS, reply -> {
             if (reply.status() == 200) {
-                receiveStatus(job, reply, askedAt);
+                receiveStatus(job, reply, sentAt);
             } else {
                 simulation.at(RETRY_MS, () -> cancel(job));
             }
@@ -156,18 +156,18 @@
     }
 
     /** Polls a job that nobody has submitted and passes on the response status. */
-    public void pollUnknownJob(Consumer<Integer> status) {
+    public void pollUnknownJob(Consumer<Integer> onStatus) {
         send(new Http.Request("GET", "/submissions/" + UNKNOWN_JOB, "", new byte[0]), POLL_TIMEOUT_MS, reply -> {
             if (reply.status() == 200) {
-                simulation.invariants.jobInvented(UNKNOWN_JOB);
+                simulation.invariants.unknownJobFound(UNKNOWN_JOB);
             }
-            status.accept(reply.status());
+            onStatus.accept(reply.status());
         });
     }
 
-    private void receiveStatus(SimulatedJob job, Http.Reply reply, long askedAt) {
+    private void receiveStatus(SimulatedJob job, Http.Reply reply, long sentAt) {
         job.receiveStatus(Json.read(reply.body()).path("status").asText(), simulation.now());
-        simulation.invariants.statusReported(job.jobId(), job.status(), askedAt);
+        simulation.invariants.statusReported(job.jobId(), job.status(), sentAt);
     }
 
     private void send(Http.Request request, long timeoutMs, Consumer<Http.Reply> done) {
--- a/src/test/java/org/spoolline/simulation/Simulation.java
+++ b/src/test/java/org/spoolline/simulation/Simulation.java
@@ -18,7 +18,7 @@
     /** Time of day at simulated time 0, in milliseconds since the epoch. */
     public static final long START_OF_DAY = 1_700_000_000_000L;
 
-    private static final int USUAL_STORE_REQUESTS_PER_S = 150;
+    private static final int DEFAULT_STORE_REQUESTS_PER_S = 150;
 
     public final SplittableRandom random;
     public final InvariantChecker invariants = new InvariantChecker(this);
@@ -36,14 +36,14 @@
 
     /** A simulation whose teams have {@code teamScale} times the usual guarantees and quotas. */
     public Simulation(long seed, int teamScale) {
-        this(seed, teamScale, USUAL_STORE_REQUESTS_PER_S);
+        this(seed, teamScale, DEFAULT_STORE_REQUESTS_PER_S);
     }
 
     /** A simulation with a rate limit of so many requests a second to the key-value store. */
     public Simulation(long seed, int teamScale, int storeRequestsPerS) {
         random = new SplittableRandom(seed);
         controllers = new Controllers(events, random, new SimulatedSettings(teamScale, storeRequestsPerS));
-        network = new Network(events, random, controllers.names(), this::receive, TraceDigest.ofNewSimulation(seed));
+        network = new Network(events, random, controllers.names(), this::deliver, TraceDigest.ofNewSimulation(seed));
         store = new FakeKeyValueStore(this);
         cloud = new FakeCloud(this);
         users = new SimulatedUsers(this);
@@ -57,7 +57,7 @@
 
     /** Runs the action after the delay in milliseconds. */
     public void at(long delayMs, Runnable action) {
-        events.at(delayMs, action);
+        events.schedule(delayMs, action);
     }
 
     /** Lets so many seconds pass. */
@@ -80,10 +80,10 @@
         return workers;
     }
 
-    private void receive(Network.Message message, Consumer<Http.Response> reply, Runnable connectionRefused) {
+    private void deliver(Network.Message message, Consumer<Http.Response> reply, Runnable connectionRefused) {
         String host = message.host();
         if (host.equals(Network.KEY_VALUE_STORE)) {
-            if (!unknownToOlderVersion(message)) {
+            if (!isVersionRecordOfOlderController(message)) {
                 store.handle(message.from(), message.request(), reply);
             }
         } else if (host.equals(Network.CLOUD)) {
@@ -96,7 +96,7 @@
     }
 
     /** True for a write of the sender's version, which an older controller does not make. */
-    private boolean unknownToOlderVersion(Network.Message message) {
+    private boolean isVersionRecordOfOlderController(Network.Message message) {
         return controllers.runsOlderVersion(message.from())
                 && new String(message.request().body(), UTF_8).contains("version/");
     }
--- a/src/test/java/org/spoolline/simulation/TraceDigest.java
+++ b/src/test/java/org/spoolline/simulation/TraceDigest.java
@@ -50,13 +50,13 @@
     private static final String PACKAGES = "org.spoolline.";
     private static final String NO_TEST = "no test";
     /** All simulations of this JVM while the digest is on. */
-    private static final List<TraceDigest> ALL = new ArrayList<>();
+    private static final List<TraceDigest> DIGESTS = new ArrayList<>();
 
-    private static final Map<String, Integer> ORDINALS = new HashMap<>();
+    private static final Map<String, Integer> SIMULATION_COUNTS = new HashMap<>();
 
     static {
-        if (isOn()) {
-            Runtime.getRuntime().addShutdownHook(new Thread(TraceDigest::write));
+        if (isEnabled()) {
+            Runtime.getRuntime().addShutdownHook(new Thread(TraceDigest::writeFile));
         }
     }
 
@@ -71,63 +71,63 @@
 
     /** The digest of a new simulation, if any is asked for. */
     static Optional<TraceDigest> ofNewSimulation(long seed) {
-        if (!isOn()) {
+        if (!isEnabled()) {
             return Optional.empty();
         }
-        synchronized (ALL) {
+        synchronized (DIGESTS) {
             String key = testOnStack() + " seed=" + seed;
-            TraceDigest digest = new TraceDigest(key + " simulation=" + ORDINALS.merge(key, 1, Integer::sum));
-            ALL.add(digest);
+            TraceDigest digest = new TraceDigest(key + " simulation=" + SIMULATION_COUNTS.merge(key, 1, Integer::sum));
+            DIGESTS.add(digest);
             return Optional.of(digest);
         }
     }
 
-    private static boolean isOn() {
+    private static boolean isEnabled() {
         return !FILE.isBlank();
     }
 
     /** The outermost method of a test class among the callers, as {@code class#method}. */
     static String testOnStack() {
         return StackWalker.getInstance()
-                .walk(frames -> frames.filter(TraceDigest::inTest).reduce((inner, outer) -> outer))
+                .walk(frames -> frames.filter(TraceDigest::isInTestClass).reduce((inner, outer) -> outer))
                 .map(frame -> frame.getClassName() + "#" + frame.getMethodName())
                 .orElse(NO_TEST);
     }
 
-    private static boolean inTest(StackFrame frame) {
+    private static boolean isInTestClass(StackFrame frame) {
         String name = frame.getClassName();
         return name.startsWith(PACKAGES) && (name.endsWith("Test") || name.contains("Test$"));
     }
 
     /** Adds a request; the consumer returned adds its reply and passes it on to {@code done}. */
-    synchronized Consumer<Http.Reply> sent(
+    synchronized Consumer<Http.Reply> addRequest(
             LongSupplier now, String from, String target, Http.Request request, Consumer<Http.Reply> done) {
-        long number = ++messages;
-        hasher.putChar('Q').putLong(number).putLong(now.getAsLong());
-        text(from);
-        text(target);
-        text(request.method());
-        text(request.path());
-        text(request.query());
-        bytes(request.body());
+        long messageNumber = ++messages;
+        hasher.putChar('Q').putLong(messageNumber).putLong(now.getAsLong());
+        putText(from);
+        putText(target);
+        putText(request.method());
+        putText(request.path());
+        putText(request.query());
+        putBytes(request.body());
         return reply -> {
-            received(number, now.getAsLong(), reply);
+            addReply(messageNumber, now.getAsLong(), reply);
             done.accept(reply);
         };
     }
 
-    private synchronized void received(long number, long now, Http.Reply reply) {
-        hasher.putChar('R').putLong(number).putLong(now).putInt(reply.status());
-        bytes(reply.body());
+    private synchronized void addReply(long messageNumber, long now, Http.Reply reply) {
+        hasher.putChar('R').putLong(messageNumber).putLong(now).putInt(reply.status());
+        putBytes(reply.body());
     }
 
     /** With its length, so that no two sequences of fields are the same bytes. */
-    private void bytes(byte[] value) {
+    private void putBytes(byte[] value) {
         hasher.putInt(value.length).putBytes(value);
     }
 
-    private void text(String value) {
-        bytes(value.getBytes(UTF_8));
+    private void putText(String value) {
+        putBytes(value.getBytes(UTF_8));
     }
 
     /** The simulation's line; nothing can be added after it. */
@@ -135,12 +135,12 @@
         return label + " messages=" + messages + " " + hasher.hash();
     }
 
-    private static void write() {
-        synchronized (ALL) {
+    private static void writeFile() {
+        synchronized (DIGESTS) {
             try {
                 Files.write(
                         Path.of(FILE),
-                        ALL.stream().map(TraceDigest::line).sorted().toList());
+                        DIGESTS.stream().map(TraceDigest::line).sorted().toList());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/test/java/org/spoolline/simulation/TraceDigestTest.java
+++ b/src/test/java/org/spoolline/simulation/TraceDigestTest.java
@@ -21,9 +21,9 @@
     private static String line(String from, String target, Http.Request request, long receivedAt, Http.Reply reply) {
         TraceDigest digest = new TraceDigest("w");
         long[] now = {5};
-        Consumer<Http.Reply> received = digest.sent(() -> now[0], from, target, request, r -> {});
+        Consumer<Http.Reply> onReply = digest.addRequest(() -> now[0], from, target, request, r -> {});
         now[0] = receivedAt;
-        received.accept(reply);
+        onReply.accept(reply);
         return digest.line();
     }
 
@@ -32,15 +32,15 @@
         TraceDigest digest = new TraceDigest("w");
         simulation.network.traceWith(digest);
         for (int i = 0; i < 4; i++) {
-            int n = i;
-            simulation.at(3_000 + i * 5_000L, () -> simulation.users.submit(Workloads.mixedJob(simulation, n)));
+            int jobNumber = i;
+            simulation.at(3_000 + i * 5_000L, () -> simulation.users.submit(Workloads.mixedJob(simulation, jobNumber)));
         }
         simulation.run(60);
         return digest.line();
     }
 
     @Test
-    void digestCoversEveryPartOfAMessage() {
+    void digestCoversEveryPartOfMessage() {
         List<String> lines = List.of(
                 line("a", "b:1", REQUEST, 9, REPLY),
                 line("ab", ":1", REQUEST, 9, REPLY),
@@ -59,24 +59,26 @@
     }
 
     @Test
-    void callerReceivesTheReply() {
+    void passesReplyToCaller() {
         List<Http.Reply> received = new ArrayList<>();
-        new TraceDigest("w").sent(() -> 0, "a", "b:1", REQUEST, received::add).accept(REPLY);
+        new TraceDigest("w")
+                .addRequest(() -> 0, "a", "b:1", REQUEST, received::add)
+                .accept(REPLY);
         assertEquals(List.of(REPLY), received);
     }
 
     @Test
-    void sameSeedSendsTheSameMessages() {
+    void sameSeedSendsSameMessages() {
         assertEquals(lineOfScenario(1), lineOfScenario(1));
         assertNotEquals(lineOfScenario(1), lineOfScenario(2));
     }
 
     @Test
-    void findsTheTestOnTheStack() {
-        Supplier<String> within = () -> List.of(1).stream()
+    void findsTestMethodOnStack() {
+        Supplier<String> nestedCall = () -> List.of(1).stream()
                 .map(i -> TraceDigest.testOnStack())
                 .findFirst()
                 .orElseThrow();
-        assertEquals("org.spoolline.simulation.TraceDigestTest#findsTheTestOnTheStack", within.get());
+        assertEquals("org.spoolline.simulation.TraceDigestTest#findsTestMethodOnStack", nestedCall.get());
     }
 }
--- a/src/test/java/org/spoolline/simulation/WorkerTasks.java
+++ b/src/test/java/org/spoolline/simulation/WorkerTasks.java
@@ -15,7 +15,7 @@
 
 /** The attempts on one worker: launch, image pull, run, kill and clear. */
 final class WorkerTasks {
-    private static final long CACHED_IMAGE_MS = 50;
+    private static final long CACHED_IMAGE_PULL_MS = 50;
     private static final long PROGRESS_STEP_MS = 200;
 
     private final Simulation simulation;
@@ -50,72 +50,73 @@
     }
 
     /** Adds the status of each attempt to a heartbeat. */
-    void writeStatus(ArrayNode slips) {
+    void writeStatus(ArrayNode statuses) {
         for (SimulatedTask task : tasks.values()) {
-            ObjectNode slip = slips.addObject()
+            ObjectNode status = statuses.addObject()
                     .put("slip", task.taskId())
                     .put("try", task.attempt())
                     .put("status", task.phase().wireName());
-            task.cause().ifPresent(cause -> slip.put("cause", cause.wireName()).put("kept", task.checkpointSaved()));
+            task.cause()
+                    .ifPresent(cause -> status.put("cause", cause.wireName()).put("kept", task.checkpointSaved()));
         }
     }
 
     /** Carries out one command of the leader; repeating it changes nothing. */
-    void carryOut(JsonNode order) {
-        String taskId = order.path("slip").asText();
-        long attempt = order.path("try").asLong();
-        String id = taskId + "#" + attempt;
-        SimulatedTask known = tasks.get(id);
-        switch (order.path("verb").asText()) {
+    void execute(JsonNode command) {
+        String taskId = command.path("slip").asText();
+        long attempt = command.path("try").asLong();
+        String attemptId = taskId + "#" + attempt;
+        SimulatedTask existing = tasks.get(attemptId);
+        switch (command.path("verb").asText()) {
             case "launch" -> {
-                if (known == null) {
-                    launch(id, new SimulatedTask(simulation.invariants, worker, taskId, attempt));
+                if (existing == null) {
+                    launch(attemptId, new SimulatedTask(simulation.invariants, worker, taskId, attempt));
                 }
             }
             case "kill" -> {
-                if (known != null && known.isAlive()) {
-                    known.kill(order.path("windDownS").asDouble() >= 1
-                            && jobOf(known).savesCheckpoints());
+                if (existing != null && existing.isAlive()) {
+                    existing.kill(command.path("windDownS").asDouble() >= 1
+                            && jobOf(existing).savesCheckpoints());
                 }
             }
             case "clear" -> {
-                if (known != null && !known.isAlive()) {
-                    tasks.remove(id);
+                if (existing != null && !existing.isAlive()) {
+                    tasks.remove(attemptId);
                 }
             }
-            default -> throw new AssertionError(order);
+            default -> throw new AssertionError(command);
         }
     }
 
-    private void launch(String id, SimulatedTask task) {
-        Optional<ExitCause> rejection = rejection(task);
-        tasks.put(id, task);
-        if (rejection.isPresent()) {
-            task.exit(rejection.get());
+    private void launch(String attemptId, SimulatedTask task) {
+        Optional<ExitCause> rejectionCause = rejectionCause(task);
+        tasks.put(attemptId, task);
+        if (rejectionCause.isPresent()) {
+            task.exit(rejectionCause.get());
             return;
         }
-        worker.statusChanged();
+        worker.requestHeartbeat();
         simulation.invariants.launchReceived(task);
         String image = jobOf(task).image();
-        long pullMs = cachedImages.contains(image) ? CACHED_IMAGE_MS : simulation.users.imagePullMs(task.jobId());
+        long pullMs = cachedImages.contains(image) ? CACHED_IMAGE_PULL_MS : simulation.users.imagePullMs(task.jobId());
         simulation.at(pullMs, () -> imagePulled(task, image));
     }
 
     /** Why the worker does not launch a task that is not among its tasks yet, if so. */
-    private Optional<ExitCause> rejection(SimulatedTask task) {
+    private Optional<ExitCause> rejectionCause(SimulatedTask task) {
         if (!simulation.users.hasSubmitted(task.jobId())) {
             return Optional.of(ExitCause.JOB_UNKNOWN);
         }
-        double used = 0;
+        double usedCores = 0;
         for (SimulatedTask other : tasks.values()) {
             if (other.isAlive()) {
-                used += jobOf(other).cores();
+                usedCores += jobOf(other).cores();
                 if (other.taskId().equals(task.taskId())) {
                     return Optional.of(ExitCause.ALREADY_RUNNING);
                 }
             }
         }
-        return used + jobOf(task).cores() > worker.cores() ? Optional.of(ExitCause.NO_CAPACITY) : Optional.empty();
+        return usedCores + jobOf(task).cores() > worker.cores() ? Optional.of(ExitCause.NO_CAPACITY) : Optional.empty();
     }
 
     private void imagePulled(SimulatedTask task, String image) {
@@ -135,18 +136,18 @@
             task.enter(Phase.RUNNING);
             runFor(task, job.runMs(task.index()));
         }
-        worker.statusChanged();
+        worker.requestHeartbeat();
     }
 
     /** Completes the task after its time, unless it ends before; a hanging worker makes no progress. */
-    void runFor(SimulatedTask task, long leftMs) {
+    void runFor(SimulatedTask task, long remainingMs) {
         simulation.at(PROGRESS_STEP_MS, () -> {
             if (worker.isDown() || !task.isAlive()) {
                 return;
             }
-            long rest = worker.isHanging() ? leftMs : leftMs - PROGRESS_STEP_MS;
-            if (rest > 0) {
-                runFor(task, rest);
+            long remainingAfterStepMs = worker.isHanging() ? remainingMs : remainingMs - PROGRESS_STEP_MS;
+            if (remainingAfterStepMs > 0) {
+                runFor(task, remainingAfterStepMs);
             } else if (jobOf(task).isGang()) {
                 simulation.users.gangs().complete(task);
             } else {
