--- a/src/test/java/org/spoolline/simulation/ControllerProcess.java
+++ b/src/test/java/org/spoolline/simulation/ControllerProcess.java
@@ -2,12 +2,12 @@
 
 import org.spoolline.Controller;
 
-/** A controller's host and the process on it, which may crash, restart and stall. */
+/** The host of a controller and its process, which can crash, restart and stall. */
 final class ControllerProcess {
     private final EventQueue events;
     private final String name;
     private Controller controller;
-    /** Grows with each start, so that timers of an earlier process never run. */
+    /** Incremented at each start, so that timers and callbacks of an earlier process never run. */
     private int incarnation;
 
     private boolean up;
@@ -32,7 +32,7 @@
         return name + ":2";
     }
 
-    /** The controller of the present or last process. */
+    /** The controller of the current process, or of the last one if the process is down. */
     Controller controller() {
         return controller;
     }
@@ -41,7 +41,7 @@
         return up;
     }
 
-    /** Begins a new process without a stall and returns its incarnation. */
+    /** Marks a new process as up, ends any stall, and returns the incarnation of the process. */
     int startIncarnation() {
         up = true;
         stalledUntil = 0;
@@ -61,12 +61,15 @@
         stalledUntil = timeMs;
     }
 
-    /** Runs the action as part of the present process. */
+    /** Runs the action in the current process. */
     void execute(Runnable action) {
         execute(incarnation, action);
     }
 
-    /** Runs the action unless its process has ended, and not before the end of a stall. */
+    /**
+     * Runs the action if the process of this incarnation is still up, and drops it otherwise. During a stall, the
+     * action is postponed to the end of the stall.
+     */
     void execute(int expectedIncarnation, Runnable action) {
         if (!up || incarnation != expectedIncarnation) {
             return;
--- a/src/test/java/org/spoolline/simulation/Controllers.java
+++ b/src/test/java/org/spoolline/simulation/Controllers.java
@@ -15,7 +15,7 @@
 import org.spoolline.net.EventLoop;
 import org.spoolline.net.Http;
 
-/** The three controllers of a simulation, and the faults and upgrades of their processes. */
+/** The three controllers of a simulation, with fault injection and upgrades of their processes. */
 public final class Controllers {
     private static final int COUNT = 3;
 
@@ -23,7 +23,7 @@
     private final SplittableRandom random;
     private final SimulatedSettings settings;
     private final Map<String, ControllerProcess> processes = new LinkedHashMap<>();
-    /** Controllers that still run a version without dependent jobs. */
+    /** Names of controllers on the older version, which does not support dependent jobs. */
     private final Set<String> olderVersionControllers = new HashSet<>();
 
     private Network network;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Starts all controllers, which call through the network. */
+    /** Starts all controllers and connects them to the network. */
     void startAll(Network newNetwork) {
         network = newNetwork;
         processes.keySet().forEach(this::start);
@@ -66,7 +66,7 @@
         return settings.forController(processes.get(name), processes.values());
     }
 
-    /** Starts a new process of the controller, in place of one that still runs. */
+    /** Starts a new process of the controller, which replaces a running one. */
     public void start(String name) {
         ControllerProcess process = processes.get(name);
         int incarnation = process.startIncarnation();
@@ -99,33 +99,36 @@
         };
     }
 
-    /** Kills the process; what it had to do is never done. */
+    /** Kills the process; its pending tasks and callbacks never run. */
     public void crash(String name) {
         processes.get(name).crash();
     }
 
-    /** Kills the process and starts a new one after so many seconds. */
+    /** Kills the process and starts a new one after the given number of seconds. */
     public void crashFor(String name, double seconds) {
         crash(name);
         events.schedule((long) (seconds * 1000), () -> start(name));
     }
 
-    /** The process makes no progress while its clocks run on; what arrived meanwhile is handled at once afterwards. */
+    /**
+     * Stalls the process for the given number of seconds while its clock advances. Messages and timers that fall into
+     * the stall are handled when it ends.
+     */
     public void stall(String name, double seconds) {
         processes.get(name).stallUntil(events.now() + (long) (seconds * 1000));
     }
 
     /**
-     * Starts a stand-in for the version without dependent jobs: it writes the same values, knows no announced limits
-     * and leaves no record of its version. It can't show how that version treats values that it does not know; the
-     * benchmark's upgrade scenarios do.
+     * Starts a substitute for the older version, which does not support dependent jobs. The substitute writes the same
+     * values, does not know announced limits, and leaves no version record in the key-value store. It does not show how
+     * the older version handles values unknown to it; the upgrade scenarios of the benchmark do.
      */
     public void startOlderVersion(String name) {
         olderVersionControllers.add(name);
         start(name);
     }
 
-    /** Kills the process and starts one of the present version after so many seconds. */
+    /** Kills the process and starts one of the present version after the given number of seconds. */
     public void upgrade(String name, double seconds) {
         crash(name);
         olderVersionControllers.remove(name);
@@ -136,24 +139,29 @@
         return olderVersionControllers.contains(host);
     }
 
-    /** Restarts all controllers with settings that announce these limits of the key-value store. */
+    /** Restarts all controllers with settings that announce these future limits of the key-value store. */
     public void announceLimits(int valueBytes, int txnOps, int writesPerS) {
         settings.announceLimits(valueBytes, txnOps, writesPerS);
         processes.keySet().forEach(this::start);
     }
 
-    /** Restarts all controllers with settings that allow so many writes a second to the key-value store. */
+    /**
+     * Restarts all controllers with settings that allow {@code writesPerS} writes per second to the key-value store.
+     */
     public void limitWrites(int writesPerS) {
         settings.limitWrites(writesPerS);
         processes.keySet().forEach(this::start);
     }
 
-    /** How often the present process of the controller has counted the event. */
+    /** The value of the event counter in the current process of the controller. */
     long countOf(String name, Event event) {
         return processes.get(name).controller().counters().of(event);
     }
 
-    /** From now on the scheduler given serves in place of every controller, to see an invariant violated. */
+    /**
+     * Passes all requests to controllers to this handler from now on. Tests use a faulty handler to check that
+     * invariant violations are detected.
+     */
     public void replaceWith(Http.Handler handler) {
         replacement = Optional.of(handler);
     }
--- a/src/test/java/org/spoolline/simulation/EventQueue.java
+++ b/src/test/java/org/spoolline/simulation/EventQueue.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Simulated time in milliseconds from 0, and the actions to come. Actions run in order of their time, those of the same
- * time in the order in which they were added, so a run depends on nothing but the seed.
+ * The simulated clock, in milliseconds from 0, and the queue of scheduled actions. Actions run in order of their time;
+ * actions of the same time run in the order in which they were scheduled, so that a run depends only on the seed.
  */
 final class EventQueue {
     private record Event(long at, long order, Runnable action) {}
@@ -19,12 +19,12 @@
         return now;
     }
 
-    /** Runs the action after the delay; a negative delay counts as none. */
+    /** Schedules the action to run after the delay; a negative delay counts as 0. */
     void schedule(long delayMs, Runnable action) {
         events.add(new Event(now + Math.max(0, delayMs), nextOrder++, action));
     }
 
-    /** Runs all actions of the next seconds and leaves the clock at their end. */
+    /** Advances the clock by the given number of seconds and runs all actions that are due in this time. */
     void run(double seconds) {
         long end = now + (long) (seconds * 1000);
         while (!events.isEmpty() && events.peek().at() <= end) {
--- a/src/test/java/org/spoolline/simulation/FakeCloud.java
+++ b/src/test/java/org/spoolline/simulation/FakeCloud.java
@@ -12,7 +12,10 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** The cloud by PROTOCOL: two machine types in two zones, a stale list of machines, and boots that take time. */
+/**
+ * A fake of the cloud API of PROTOCOL, with two machine types in two zones. The list of machines that it returns is
+ * stale, and machines take time to boot.
+ */
 public final class FakeCloud {
     private static final long LIST_STALENESS_MS = 6_000;
 
@@ -27,14 +30,14 @@
     private final List<Map.Entry<Long, List<Machine>>> snapshots = new ArrayList<>();
     private int machineCount;
     private boolean outage;
-    /** The most machines of one type and zone, spot and on demand each. */
+    /** Maximum number of machines per type and zone; spot and on-demand machines are counted separately. */
     public int capacity = 6;
-    /** Malformed entries that the list of machine types holds beside the proper ones. */
+    /** Malformed entries added to the list of machine types after the valid ones. */
     public List<JsonNode> malformedTypes = List.of();
 
-    /** Mean time to boot. */
+    /** Typical time to boot; each boot takes a random time between 0.6 and 1.5 times this value. */
     public double bootSeconds = 10;
-    /** The next so many machines never boot. */
+    /** The number of machines granted from now on that never boot. */
     public int bootsToFail;
 
     FakeCloud(Simulation simulation) {
@@ -42,7 +45,7 @@
         takeSnapshotPeriodically();
     }
 
-    /** Every request gets 503 for so many seconds. */
+    /** Answers every request with 503 for the given number of seconds. */
     public void outage(double seconds) {
         outage = true;
         simulation.at((long) (seconds * 1000), () -> outage = false);
@@ -56,7 +59,7 @@
         simulation.at(SNAPSHOT_INTERVAL_MS, this::takeSnapshotPeriodically);
     }
 
-    /** Cores of a machine type. */
+    /** The number of cores of a machine type. */
     static double cores(String type) {
         return type.equals("big") ? 16 : 8;
     }
@@ -99,7 +102,7 @@
         return type;
     }
 
-    /** Grants machines; a repeated request gets the same ones again. */
+    /** Grants machines; a repeated request with the same id gets the same machines, so that retries are idempotent. */
     private void scaleOut(JsonNode body, Consumer<Http.Response> reply) {
         String requestId = body.path("hire").asText();
         List<String> granted = grantsByRequest.get(requestId);
@@ -118,7 +121,7 @@
         reply.accept(Http.Response.of(200, Json.bytes(response)));
     }
 
-    /** The names of as many of the requested machines as there is capacity for. */
+    /** Grants as many of the requested machines as capacity allows and returns their names. */
     private List<String> grant(JsonNode body) {
         List<String> granted = new ArrayList<>();
         String type = body.path("build").asText();
@@ -158,12 +161,12 @@
         });
     }
 
-    /** True until the machine is scaled in or taken away. */
+    /** True if the machine was granted and has not been removed, by scale in or by the cloud. */
     boolean hasMachine(String name) {
         return machines.containsKey(name);
     }
 
-    /** Takes the machine away, with all that runs on it. */
+    /** Removes the machine; all attempts on it are lost. */
     public void remove(String name) {
         machines.remove(name);
         FakeWorker worker = simulation.workers().get(name);
@@ -172,7 +175,7 @@
         }
     }
 
-    /** A page of the machines as of some seconds ago. */
+    /** Answers with a page of the machine list as it was about 6 to 12 s ago. */
     private void list(String path, Consumer<Http.Response> reply) {
         long asOf = simulation.now() - LIST_STALENESS_MS - simulation.random.nextLong(LIST_STALENESS_MS);
         List<Machine> listed = List.of();
--- a/src/test/java/org/spoolline/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/spoolline/simulation/FakeKeyValueStore.java
@@ -13,7 +13,7 @@
 import org.spoolline.net.Json;
 import org.spoolline.simulation.KeyValueData.StoredValue;
 
-/** The key-value store by PROTOCOL, as far as controllers use it, and its faults. */
+/** An in-memory key-value store with the requests of PROTOCOL that controllers use, and fault injection. */
 public final class FakeKeyValueStore {
     private static final int CONDITIONS_PER_OP = 4;
     private static final int MAX_TXN_BYTES = 64 * 1024;
@@ -22,7 +22,7 @@
     private final Simulation simulation;
     private final KeyValueData data = new KeyValueData();
     private final KeyValueWatches watches;
-    /** The limits in the settings of {@link SimulatedSettings}. */
+    /** Equal to the limit in {@link SimulatedSettings}, as is {@link #maxTxnOps}. */
     private int maxValueBytes = 8 * 1024;
 
     private int maxTxnOps = 12;
@@ -33,9 +33,9 @@
     private int oversizedCommits;
     private int delayedCommits;
     private int delayedCommitsApplied;
-    /** The next so many commits are applied, but their response is lost. */
+    /** The number of commits from now on that are applied without a response to the caller. */
     public int commitResponsesToLose;
-    /** The next so many commits are applied only after the caller's timeout. */
+    /** The number of commits from now on that are applied only after the caller has timed out. */
     public int commitsToDelay;
 
     FakeKeyValueStore(Simulation simulation) {
@@ -53,7 +53,10 @@
 
     // --- faults
 
-    /** Every request gets 503 for so many seconds; after them every lease has its full time again. */
+    /**
+     * Answers every request with 503 for the given number of seconds. No lease expires meanwhile, and each lease is
+     * renewed for its full duration at the end.
+     */
     public void outage(double seconds) {
         outage = true;
         simulation.at((long) (seconds * 1000), () -> {
@@ -63,7 +66,10 @@
         });
     }
 
-    /** One host alone gets 503; its leases expire, and its open watches wait as in an outage. */
+    /**
+     * Answers the requests of one host with 503 for the given number of seconds. Its leases may expire meanwhile; its
+     * open watches get no response until the end.
+     */
     public void rejectHost(String host, double seconds) {
         rejectedHosts.add(host);
         simulation.at((long) (seconds * 1000), () -> {
@@ -76,65 +82,71 @@
         return outage || rejectedHosts.contains(host);
     }
 
-    /** The responses to one host's watches are lost, while its other requests are answered. */
+    /** Drops the responses to watches of one host; its other requests are answered. */
     public void loseWatchResponses(String host, double seconds) {
         watches.loseResponsesTo(host, seconds);
     }
 
-    /** Listings get no response, while other requests do: pages may be large, and slow links lose them first. */
+    /**
+     * Drops list requests for the given number of seconds and answers all others. This models a slow link, on which
+     * large pages time out first.
+     */
     public void dropListings(double seconds) {
         listingsDropped = true;
         simulation.at((long) (seconds * 1000), () -> listingsDropped = false);
     }
 
-    /** That share of the commits gets no response and is applied 2 to 12 s later, after newer ones. */
+    /**
+     * For the given number of seconds, sends no response to this share of the commits, chosen at random, and applies
+     * each of them 2 to 12 s late, possibly after newer commits.
+     */
     public void delayCommits(double share, double seconds) {
         delayedCommitShare = share;
         simulation.at((long) (seconds * 1000), () -> delayedCommitShare = 0);
     }
 
-    /** From now on larger values and transactions get 400; what is stored stays readable. */
+    /** Answers commits over these limits with 400 from now on; larger values already stored stay readable. */
     public void lowerLimits(int valueBytes, int txnOps) {
         maxValueBytes = valueBytes;
         maxTxnOps = txnOps;
     }
 
-    // --- what scenarios look at
+    // --- state read by scenarios
 
-    /** The controller named as leader, or null. */
+    /** The name of the controller stored as leader, or null if there is none. */
     String leader() {
         return data.get("leader")
                 .map(leader -> leader.json().path("node").asText())
                 .orElse(null);
     }
 
-    /** The value of a key, or a missing node. */
+    /** The value of the key, or a missing node if the key does not exist. */
     public JsonNode value(String key) {
         return data.get(key).map(StoredValue::json).orElse(MissingNode.getInstance());
     }
 
-    /** Stores a value at the start of a scenario. */
+    /** Stores a value without a lease, as initial data of a scenario. */
     void put(String key, JsonNode value) {
         data.beginRevision();
         data.set(key, value, 0);
     }
 
-    /** Commits that were rejected for their size. */
+    /** The number of commits rejected because they exceeded a size limit. */
     public int oversizedCommits() {
         return oversizedCommits;
     }
 
-    /** Commits that {@link #delayCommits} delayed. */
+    /** The number of commits delayed by {@link #delayCommits}. */
     int delayedCommits() {
         return delayedCommits;
     }
 
-    /** Delayed commits whose conditions still held. */
+    /** The number of delayed commits that were applied because their conditions still held. */
     int delayedCommitsApplied() {
         return delayedCommitsApplied;
     }
 
-    // --- the protocol
+    // --- requests
 
     void handle(String from, Http.Request request, Consumer<Http.Response> reply) {
         String path = request.path();
--- a/src/test/java/org/spoolline/simulation/FakeWorker.java
+++ b/src/test/java/org/spoolline/simulation/FakeWorker.java
@@ -8,14 +8,14 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** A machine and the worker on it, by PROTOCOL: heartbeats, lease, fencing token and commands. */
+/** A machine with a worker that implements heartbeats, lease, fencing token and commands of PROTOCOL. */
 public final class FakeWorker {
     private static final long LEASE_MS = 16_000;
     private static final long RESPONSE_TIMEOUT_MS = 4_000;
     private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
     private static final long RETRY_MS = 1_000;
     private static final long LEASE_CHECK_MS = 100;
-    /** Without an answered heartbeat for so long, no work is expected to start here. */
+    /** Longest time since the last answered heartbeat was sent in which tasks are expected to start here. */
     private static final long MAX_SCHEDULABLE_HEARTBEAT_AGE_MS = 5_000;
 
     final String name;
@@ -34,12 +34,12 @@
     private boolean heartbeatInFlight;
     private boolean heartbeatRequested;
     private long lastHeartbeatAt = -10_000;
-    /** Every task that starts here fails. */
+    /** True if every task that starts on this machine fails. */
     public boolean failsEveryTask;
 
     private OptionalDouble preemptionNoticeS = OptionalDouble.empty();
 
-    /** A worker that has just booted and sends its first heartbeat to a random controller. */
+    /** Creates a worker that has just booted and sends its first heartbeat to a random controller. */
     FakeWorker(Simulation simulation, String name, String type, String zone, boolean spot) {
         this.simulation = simulation;
         this.name = name;
@@ -54,13 +54,16 @@
         sendHeartbeat();
     }
 
-    /** The machine loses power, and everything on it is lost. */
+    /** Powers the machine off; all its attempts are lost. */
     public void losePower() {
         down = true;
         tasks.loseAll();
     }
 
-    /** The machine loses power, and a worker without its memory starts under the same name after so many seconds. */
+    /**
+     * Powers the machine off. After the given number of seconds a worker without the earlier state starts under the
+     * same name, unless the cloud has removed the machine meanwhile.
+     */
     public void restartAfter(double seconds) {
         losePower();
         simulation.at((long) (seconds * 1000), () -> {
@@ -70,7 +73,10 @@
         });
     }
 
-    /** The worker does nothing for so many seconds; its tasks make no progress. */
+    /**
+     * Makes the worker hang for the given number of seconds: it sends no heartbeat, ignores commands, and its tasks
+     * make no progress.
+     */
     public void hang(double seconds) {
         hanging = true;
         simulation.at((long) (seconds * 1000), () -> {
@@ -80,19 +86,22 @@
         });
     }
 
-    /** The cloud announces that it takes the spot machine back in so many seconds, and does. */
+    /**
+     * Puts a preemption notice into the worker's heartbeats and removes the spot machine after the given number of
+     * seconds.
+     */
     public void preemptWithNotice(double seconds) {
         preemptionNoticeS = OptionalDouble.of(seconds);
         requestHeartbeat();
         simulation.at((long) (seconds * 1000), () -> simulation.cloud.remove(name));
     }
 
-    /** The controller that receives its heartbeats now. */
+    /** The name of the controller to which the worker currently sends its heartbeats. */
     String heartbeatTarget() {
         return simulation.controllers.names().get(targetIndex);
     }
 
-    /** The incarnation that its heartbeats show. */
+    /** The current incarnation, as sent in heartbeats. */
     long incarnation() {
         return incarnation;
     }
@@ -105,7 +114,7 @@
         return hanging;
     }
 
-    /** True while its heartbeats are answered, so that work could be started here. */
+    /** True if the worker is healthy and a recent heartbeat was answered, so controllers can start tasks on it. */
     boolean isSchedulable() {
         return !down
                 && !hanging
@@ -114,17 +123,17 @@
                 && simulation.now() - leaseRenewedAt < MAX_SCHEDULABLE_HEARTBEAT_AGE_MS;
     }
 
-    /** Cores of the machine. */
+    /** The number of cores of the machine. */
     double cores() {
         return FakeCloud.cores(type);
     }
 
-    /** Cores that no attempt holds, not even one that still pulls its image. */
+    /** Cores not allocated to live attempts; an attempt that still pulls its image counts as live. */
     double freeCores() {
         return cores() - tasks.usedCores();
     }
 
-    /** True when a task of the job may run on this machine when empty. */
+    /** True if a task of the job could run on this machine when no other task does. */
     boolean fits(SimulatedJob job) {
         return (job.zone() == null || job.zone().equals(zone))
                 && (job.type() == null || job.type().equals(type))
@@ -132,12 +141,12 @@
                 && job.cores() <= cores();
     }
 
-    /** The attempts here, in order of launch. */
+    /** The attempts on this worker in order of launch. */
     List<SimulatedTask> tasks() {
         return tasks.list();
     }
 
-    /** Lets the task of a gang run for so long, and then completes the gang. */
+    /** Runs the task of a gang for the given time and then completes the gang. */
     void runFor(SimulatedTask task, long runMs) {
         tasks.runFor(task, runMs);
     }
@@ -146,7 +155,7 @@
         if (down) {
             return;
         }
-        // A hanging worker may resume within its lease; past it, its tasks are lost whether it resumes or not.
+        // Also runs while the worker hangs: once the lease has expired, its tasks are lost even if it resumes.
         checkLease();
         simulation.at(LEASE_CHECK_MS, this::checkLeasePeriodically);
     }
@@ -160,7 +169,7 @@
         }
     }
 
-    /** Sends a heartbeat as soon as the interval allows. */
+    /** Sends a heartbeat as soon as the minimum interval since the last one allows. */
     void requestHeartbeat() {
         heartbeatRequested = true;
         long delayMs = Math.max(0, lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL_MS - simulation.now());
@@ -227,7 +236,10 @@
         }
     }
 
-    /** Renews the lease and carries out commands, unless the response is of an earlier incarnation or token. */
+    /**
+     * Renews the lease and executes the commands of a heartbeat response. Ignores a response to a heartbeat of an
+     * earlier incarnation, and one with a fencing token lower than the highest received.
+     */
     private void applyResponse(JsonNode response, long sentAt, long sentIncarnation) {
         if (sentIncarnation != incarnation
                 || !response.has("baton")
@@ -246,7 +258,10 @@
         }
     }
 
-    /** Carries out direct commands if token and incarnation still match, however late they arrive. */
+    /**
+     * Executes commands that a controller sends directly. Rejects them with 409 if their fencing token is lower than
+     * the highest received or their incarnation is not the current one, since they may arrive after a long delay.
+     */
     void receiveCommands(Http.Request request, Consumer<Http.Response> reply) {
         if (down || hanging) {
             return;
--- a/src/test/java/org/spoolline/simulation/InvariantChecker.java
+++ b/src/test/java/org/spoolline/simulation/InvariantChecker.java
@@ -12,8 +12,8 @@
 import org.spoolline.config.Settings;
 
 /**
- * The safety rules of PROTOCOL, checked on what tasks do and users are told, without access to the controllers' state.
- * {@link ServiceLevelChecker} checks what must happen in time.
+ * Checks the safety rules of PROTOCOL against the tasks that workers run and the responses that users receive. It does
+ * not read the state of the controllers. {@link ServiceLevelChecker} checks the time limits.
  */
 public final class InvariantChecker {
     private static final long REQUEST_TIMEOUT_MS = 4_000;
@@ -28,7 +28,7 @@
     private final Map<String, Set<Integer>> completedTasks = new HashMap<>();
     private final Map<String, Long> completeSince = new HashMap<>();
     private final Map<String, Long> firstStart = new HashMap<>();
-    /** When a user was first told that the job is cancelled. */
+    /** By job id, the time at which a user first received a response with the status cancelled. */
     private final Map<String, Long> cancelledAt = new HashMap<>();
 
     private final Map<String, String> terminalStatus = new HashMap<>();
@@ -41,22 +41,22 @@
         this.serviceLevels = new ServiceLevelChecker(simulation, this);
     }
 
-    /** One line per violation, which begins with the rule's name. */
+    /** One line per violation; each line begins with the name of the violated rule. */
     public List<String> violations() {
         return violations;
     }
 
-    /** How many attempts have started. */
+    /** The number of attempts that have started. */
     public int starts() {
         return starts;
     }
 
-    /** From now on no fault is injected: every job must be served in time. */
+    /** Starts the checks of time limits; the scenario injects no more faults. */
     public void faultsEnded() {
         serviceLevels.faultsEnded();
     }
 
-    /** Checks what must hold at the end of a scenario. */
+    /** Runs the checks that are only possible at the end of a scenario. */
     public void checkAtEnd() {
         checkCancelledDependents();
         serviceLevels.checkAtEnd();
@@ -77,9 +77,13 @@
         violations.add(rule + " at " + simulation.now() / 1000.0 + " s: " + detail);
     }
 
-    // --- what tasks do
+    // --- events of tasks
 
-    /** A worker received a launch, which may be as stale as a leadership allows, but no more. */
+    /**
+     * Records that a worker received a launch command. A deposed leader may not know of a cancellation and may send
+     * launches until its leadership expires, so launches are allowed for that time plus the request timeout after the
+     * user was told of the cancellation. A later launch is a violation.
+     */
     void launchReceived(SimulatedTask task) {
         Long cancelledAtMs = cancelledAt.get(task.jobId());
         if (cancelledAtMs != null
@@ -88,7 +92,7 @@
         }
     }
 
-    /** An attempt has its image and starts. */
+    /** Records that an attempt has pulled its image and starts. */
     void taskStarted(SimulatedTask task) {
         starts++;
         firstStart.putIfAbsent(task.jobId(), simulation.now());
@@ -132,7 +136,7 @@
             }
         }
         if (job.requiresSpread() && jobTasksInZone > (job.tasks() + 1) / 2) {
-            addViolation("wrong_place", task.taskId() + " makes too many in one zone");
+            addViolation("wrong_place", task.taskId() + " puts more than half of its job in one zone");
         }
         if (usedCores > quotaCores(job) + ROUNDING_TOLERANCE) {
             addViolation("quota", job.team() + " uses " + usedCores);
@@ -165,12 +169,12 @@
         }
     }
 
-    /** A started attempt has exited, for whatever cause. */
+    /** Records that a started attempt has exited for any cause. */
     void taskEnded(SimulatedTask task) {
         running.remove(task);
     }
 
-    /** An attempt has run to its end. */
+    /** Records that an attempt has completed its task. */
     void taskCompleted(SimulatedTask task) {
         taskCompletedBefore(task.jobId(), task.index());
         if (isComplete(task.jobId())) {
@@ -178,29 +182,32 @@
         }
     }
 
-    /** The task was complete before the scenario began. */
+    /** Records a task that was already complete when the scenario began. */
     void taskCompletedBefore(String jobId, int index) {
         completedTasks.computeIfAbsent(jobId, id -> new HashSet<>()).add(index);
     }
 
-    // --- what users are told
+    // --- responses that users receive
 
-    /** A job that can never run, or lacks a field, was accepted. */
+    /** Records that a controller accepted a job that can never run or lacks a required field. */
     void invalidJobAccepted(String jobId) {
         addViolation("accepted_odd", jobId);
     }
 
-    /** An accepted job was rejected or not found. */
+    /** Records that a controller rejected an accepted job when it was resubmitted, or did not find it. */
     void acceptedJobLost(String jobId, int responseStatus) {
         addViolation("forgotten", jobId + " got " + responseStatus);
     }
 
-    /** A job that nobody submitted was found. */
+    /** Records that a controller returned a status for a job that no user submitted. */
     void unknownJobFound(String jobId) {
         addViolation("invented", jobId);
     }
 
-    /** A user was told this status; the response to a request older than the terminal status may arrive after it. */
+    /**
+     * Records the status in a response to a request sent at {@code sentAt}. A request sent before the user received the
+     * terminal status may return an older status afterwards, so it is not checked against the terminal status.
+     */
     void statusReported(String jobId, String status, long sentAt) {
         SimulatedJob job = simulation.users.job(jobId);
         if (status.equals("pending") || status.equals("running")) {
@@ -248,7 +255,7 @@
         }
     }
 
-    /** True when its user cancelled the job, or one that it depends on and that was not reported done. */
+    /** True when a user cancelled the job, or cancelled a dependency of it that was not reported done. */
     private boolean isCancellationExpected(SimulatedJob job) {
         return job.cancelRequested()
                 || transitiveDependencies(job).stream()
@@ -256,19 +263,19 @@
                                 && !DONE.equals(terminalStatus.get(dependency)));
     }
 
-    /** A job that is cancelled without its user's request needs a dependency that is cancelled in the end. */
+    /** Checks that each job cancelled without a request of its user has a dependency that ended cancelled. */
     private void checkCancelledDependents() {
         for (SimulatedJob job : simulation.users.jobs()) {
             if (CANCELLED.equals(terminalStatus.get(job.jobId()))
                     && !job.cancelRequested()
                     && transitiveDependencies(job).stream()
                             .noneMatch(dependency -> CANCELLED.equals(terminalStatus.get(dependency)))) {
-                addViolation("went_back", job.jobId() + " is cancelled, but no job that it needs");
+                addViolation("went_back", job.jobId() + " is cancelled, but none of its dependencies is");
             }
         }
     }
 
-    // --- what is known of jobs
+    // --- state of jobs
 
     int completedCount(String jobId) {
         return completedTasks.getOrDefault(jobId, Set.of()).size();
@@ -279,12 +286,15 @@
         return completedCount(jobId) >= simulation.users.job(jobId).tasks();
     }
 
-    /** When the first attempt of the job started, or now. */
+    /** The time at which the first attempt of the job started, or the current time if none has. */
     long firstStartOrNow(SimulatedJob job) {
         return firstStart.getOrDefault(job.jobId(), simulation.now());
     }
 
-    /** When the job could first start: at its submission, or with the completion of its last dependency. */
+    /**
+     * The earliest time at which the job can start: its submission or the completion of its last dependency, whichever
+     * is later; {@code Long.MAX_VALUE} while a dependency is incomplete.
+     */
     long startableAt(SimulatedJob job) {
         long startableAtMs = job.submittedAt();
         for (String dependency : job.dependencies()) {
@@ -293,13 +303,13 @@
         return startableAtMs;
     }
 
-    /** True when a user was told that the job, or one that it depends on, is cancelled. */
+    /** True when a user received the status cancelled for the job or for one of its transitive dependencies. */
     boolean isJobOrDependencyCancelled(SimulatedJob job) {
         return cancelledAt.containsKey(job.jobId())
                 || transitiveDependencies(job).stream().anyMatch(cancelledAt::containsKey);
     }
 
-    /** All jobs that this one depends on, directly or through others. */
+    /** The ids of all jobs that the job depends on, directly or indirectly. */
     private Set<String> transitiveDependencies(SimulatedJob job) {
         Set<String> dependencies = new LinkedHashSet<>();
         Deque<String> toVisit = new ArrayDeque<>(job.dependencies());
--- a/src/test/java/org/spoolline/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/spoolline/simulation/InvariantCheckerTest.java
@@ -11,9 +11,9 @@
 import org.spoolline.net.Http;
 import org.spoolline.net.Json;
 
-/** Shows that each invariant is detected when a scheduler violates it. */
+/** Replaces the controllers by faulty schedulers and checks that the invariant checker reports the violations. */
 class InvariantCheckerTest {
-    /** A scheduler that accepts jobs and then does nothing. */
+    /** The scheduler answers every request with 503 after a job was accepted. */
     @Test
     void detectsUnansweredAndUnservedJobs() {
         Simulation simulation = new Simulation(5);
@@ -35,7 +35,10 @@
         }
     }
 
-    /** A scheduler that starts tasks everywhere and reports any status. */
+    /**
+     * The scheduler launches the same task on every worker that sends a heartbeat, whatever its zone, and reports the
+     * incomplete job as done, then as cancelled.
+     */
     @Test
     void detectsDuplicateAttemptsWrongPlacementAndContradictoryStatus() {
         Simulation simulation = new Simulation(5);
@@ -108,7 +111,10 @@
         assertViolated(simulation, "mostly_unanswered");
     }
 
-    /** Accepts everything, and starts nothing although workers send heartbeats. */
+    /**
+     * The scheduler accepts every submission, including an invalid one, and launches nothing although a worker with
+     * free cores sends heartbeats.
+     */
     @Test
     void detectsJobWaitingDespiteCapacityAndAcceptedInvalidJob() {
         Simulation simulation = new Simulation(5);
@@ -131,7 +137,7 @@
                 simulation.invariants.violations().stream()
                         .noneMatch(violation ->
                                 violation.startsWith("left_waiting") && violation.contains(tooLarge.jobId())),
-                "12 cores don't fit 8");
+                "a gang of 12 cores does not fit a machine of 8 cores");
     }
 
     @Test
@@ -168,7 +174,11 @@
         assertViolated(simulation, "invented");
     }
 
-    /** A scheduler that ignores dependencies. */
+    /**
+     * The dependency is added to the dependent job only after its submission, so the controllers start the dependent
+     * before its dependency is done. After the dependency is cancelled, the scheduler still reports its dependent as
+     * pending.
+     */
     @Test
     void detectsStartBeforeDependencyAndDependentOfCancelledJob() {
         Simulation simulation = new Simulation(1);
--- a/src/test/java/org/spoolline/simulation/KeyValueData.java
+++ b/src/test/java/org/spoolline/simulation/KeyValueData.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The data of the {@link FakeKeyValueStore}: values by key, the log of their changes, and leases. */
+/** The data of the {@link FakeKeyValueStore}: values by key, the log of changes, and leases. */
 final class KeyValueData {
-    /** A value, the revision of its last change, and its lease or 0. */
+    /** A value, the revision of its last change, and the id of its lease or 0 for none. */
     record StoredValue(JsonNode json, long revision, long lease) {}
 
-    /** A change at a revision; {@code value} is null for a removal. */
+    /** A change of a key in a revision; {@code value} is null if the key was removed. */
     record Change(long revision, String key, JsonNode value) {}
 
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
@@ -33,12 +33,12 @@
         return Optional.ofNullable(values.get(key));
     }
 
-    /** All values with a later key, in order of key. */
+    /** All entries whose keys sort after the given key, in key order. */
     NavigableMap<String, StoredValue> entriesAfter(String key) {
         return values.tailMap(key, false);
     }
 
-    /** The changes after a revision to keys with the prefix, oldest first. */
+    /** All changes of keys with the prefix in revisions after the given one, oldest first. */
     List<Change> changesSince(long afterRevision, String prefix) {
         List<Change> changes = new ArrayList<>();
         for (Change change : changeLog) {
@@ -49,7 +49,7 @@
         return changes;
     }
 
-    /** Begins a new revision, which the next changes share. */
+    /** Increments the revision; all changes until the next call belong to it. */
     void beginRevision() {
         revision++;
     }
@@ -80,7 +80,7 @@
         leaseExpiries.put(lease, now + leaseTtls.get(lease));
     }
 
-    /** Gives every lease its full time again. */
+    /** Renews every lease for its full duration. */
     void renewAllLeases(long now) {
         leaseExpiries.replaceAll((lease, expiry) -> now + leaseTtls.get(lease));
     }
@@ -95,7 +95,7 @@
         return expired;
     }
 
-    /** Ends a lease and removes its values in a new revision. */
+    /** Deletes a lease and removes its keys in a new revision. */
     void deleteLease(long lease) {
         leaseExpiries.remove(lease);
         beginRevision();
--- a/src/test/java/org/spoolline/simulation/KeyValueWatches.java
+++ b/src/test/java/org/spoolline/simulation/KeyValueWatches.java
@@ -13,11 +13,11 @@
 import org.spoolline.net.Json;
 import org.spoolline.simulation.KeyValueData.Change;
 
-/** The watches of the {@link FakeKeyValueStore}: long polls that end with the next change or after their time. */
+/** The watches of the {@link FakeKeyValueStore}: long polls that end at the next change or after their wait time. */
 final class KeyValueWatches {
     private static final long REJECTED_RETRY_MS = 500;
 
-    /** An open long poll for changes; it is answered once. */
+    /** A long poll for changes, which gets at most one response. */
     private static final class Watch {
         private final String host;
         private final String prefix;
@@ -39,20 +39,23 @@
     private final List<Watch> watches = new ArrayList<>();
     private final Set<String> hostsLosingResponses = new HashSet<>();
 
-    /** Watches of hosts that are rejected at present stay open. */
+    /** {@code isHostRejected} tells whether requests of a host fail now; watches of such a host stay open. */
     KeyValueWatches(Simulation simulation, KeyValueData data, Predicate<String> isHostRejected) {
         this.simulation = simulation;
         this.data = data;
         this.isHostRejected = isHostRejected;
     }
 
-    /** For so many seconds the responses to a host are lost. */
+    /** Drops the responses to watches of the host for the given number of seconds. */
     void loseResponsesTo(String host, double seconds) {
         hostsLosingResponses.add(host);
         simulation.at((long) (seconds * 1000), () -> hostsLosingResponses.remove(host));
     }
 
-    /** Opens a watch on the query's prefix after the query's revision, for the query's time. */
+    /**
+     * Opens a watch with the parameters of the request: the prefix of the keys, the revision after which changes are
+     * reported, and the wait time.
+     */
     void open(String host, Map<String, String> query, Consumer<Http.Response> reply) {
         Watch watch = new Watch(host, query.get("prefix"), Long.parseLong(query.get("after")), reply);
         watches.add(watch);
@@ -60,7 +63,7 @@
         respondIfChanged(watch);
     }
 
-    /** Answers all watches that have seen no change before and see one now. */
+    /** Answers all open watches for which there are changes. */
     void respondToChangedWatches() {
         List.copyOf(watches).forEach(this::respondIfChanged);
     }
@@ -75,7 +78,7 @@
         }
     }
 
-    /** Answers the watch with or without changes, once its host is not rejected. */
+    /** Answers the watch, possibly without changes; while its host is rejected, tries again later. */
     private void timeOut(Watch watch) {
         if (watch.responded) {
             return;
--- a/src/test/java/org/spoolline/simulation/LinkState.java
+++ b/src/test/java/org/spoolline/simulation/LinkState.java
@@ -1,11 +1,11 @@
 package org.spoolline.simulation;
 
-/** What happens to packets on a link between two hosts. */
+/** The state of a link between two hosts, which decides what happens to its packets. */
 public enum LinkState {
-    /** They arrive after a random delay. */
+    /** Packets arrive after a random delay. */
     CONNECTED,
-    /** They are lost. */
+    /** Packets are dropped. */
     LOST,
-    /** They are kept, and arrive in order once the link is connected again. */
+    /** Packets are buffered and delivered once the link is connected again. */
     DELAYED
 }
--- a/src/test/java/org/spoolline/simulation/Network.java
+++ b/src/test/java/org/spoolline/simulation/Network.java
@@ -13,11 +13,12 @@
 import org.spoolline.net.Http;
 
 /**
- * The links between hosts: random delays, partitions, delayed, lost and duplicated messages, in either direction. Draws
- * its random numbers from the simulation, so the order of draws is part of a replay.
+ * The network between the hosts of a simulation, with random delays, partitions, and delayed, lost and duplicated
+ * messages. It draws from the random number generator of the simulation, so a change in the order of draws changes
+ * every run.
  */
 public final class Network {
-    /** All workers, those that boot later too, in place of a host's name. */
+    /** Stands for all current and future workers where a host name is expected. */
     public static final String WORKERS = "*";
 
     static final String KEY_VALUE_STORE = "state";
@@ -30,17 +31,18 @@
     private static final int RECONNECT_DELAY_MS = 20;
     private static final int MIN_DUPLICATE_DELAY_MS = 1_000;
 
-    /** A request on its way to the address {@code target}, which is {@code host:port}. */
+    /** A request from a host to the address {@code target}, which has the form {@code host:port}. */
     record Message(String from, String target, Http.Request request) {
         String host() {
             return target.substring(0, target.indexOf(':'));
         }
     }
 
-    /** Takes the messages that arrive at any host. */
+    /** Receives the messages to all hosts. */
     interface Receiver {
         /**
-         * Answers through {@code reply}, or runs {@code connectionRefused}, or does neither, and the caller times out.
+         * Handles a message: passes a response to {@code reply}, or runs {@code connectionRefused}, or does neither, in
+         * which case the caller times out.
          */
         void receive(Message message, Consumer<Http.Response> reply, Runnable connectionRefused);
     }
@@ -71,12 +73,12 @@
         nonWorkerHosts.addAll(controllers);
     }
 
-    /** From now on every message is added to this digest. */
+    /** Adds every message from now on to this digest. */
     void traceWith(TraceDigest newDigest) {
         digest = Optional.of(newDigest);
     }
 
-    /** Sets the state of the link between two hosts, both ways. */
+    /** Sets the state of both directions of the link between two hosts. */
     public void setLink(String a, String b, LinkState state) {
         links.put(link(a, b), state);
         links.put(link(b, a), state);
@@ -94,13 +96,16 @@
         }
     }
 
-    /** For so long the host opens no connections, while requests to it still arrive and are answered. */
+    /**
+     * Drops the requests that the host sends for the given number of seconds; requests to it still arrive and are
+     * answered.
+     */
     public void blockOutbound(String host, double seconds) {
         blockedOutbound.add(host);
         events.schedule((long) (seconds * 1000), () -> blockedOutbound.remove(host));
     }
 
-    /** Packets to the host take up to 0.4 s until {@link #restoreSpeed}. */
+    /** Delays each packet to the host by up to 0.4 s until {@link #restoreSpeed} is called. */
     public void slowDown(String host) {
         slowHosts.add(host);
     }
@@ -110,17 +115,23 @@
         slowHosts.remove(host);
     }
 
-    /** From now on a duplicate of each heartbeat arrives up to so much later; 0 ends it. */
+    /**
+     * Delivers a duplicate of each heartbeat from now on, 1 s and a random time below {@code delaySpreadMs} after it
+     * was sent; 0 ends the duplication.
+     */
     public void duplicateHeartbeats(long delaySpreadMs) {
         duplicateDelaySpreadMs = delaySpreadMs;
     }
 
-    /** The most requests from one host to workers that were open at a time. */
+    /** The highest number of concurrent requests from one host to workers. */
     int peakRequestsToWorkers() {
         return peakRequestsToWorkers;
     }
 
-    /** Sends a request from one host to an address; the reply has status 0 when none came in time. */
+    /**
+     * Sends a request from a host to an address. {@code done} receives the reply, or a reply with status 0 after a
+     * timeout or a refused connection.
+     */
     void call(String from, String target, Http.Request request, long timeoutMs, Consumer<Http.Reply> done) {
         Consumer<Http.Reply> traced = digest.map(
                         messageDigest -> messageDigest.addRequest(events::now, from, target, request, done))
@@ -141,7 +152,7 @@
         deliver(from, message.host(), () -> receiver.receive(message, reply, () -> openRequest.end(Http.Reply.NONE)));
     }
 
-    /** A request without a reply yet; the first reply or the timeout ends it, and what comes later is dropped. */
+    /** A pending request. The first reply or the timeout completes it; later replies are dropped. */
     private final class OpenRequest {
         private final String from;
         private final boolean toWorker;
@@ -172,7 +183,7 @@
     private void deliver(String from, String to, Runnable delivery) {
         switch (stateOf(from, to)) {
             case LOST -> {}
-                // Delayed packets arrive in order, even if the sender has given up meanwhile.
+                // Delayed packets are delivered on reconnection even if the sender has timed out meanwhile.
             case DELAYED -> delayed.computeIfAbsent(link(from, to), key -> new ArrayList<>())
                     .add(delivery);
             case CONNECTED -> events.schedule(
--- a/src/test/java/org/spoolline/simulation/Seeds.java
+++ b/src/test/java/org/spoolline/simulation/Seeds.java
@@ -3,18 +3,18 @@
 import java.util.stream.IntStream;
 
 /**
- * The seeds of the parameterized scenarios, one case each. {@code -Dscenario.seeds=N} asks for seeds 1 to N (default
- * 4); {@code -Dscenario.seed=S} runs seed S alone, to look into a failure. The
- * two tests that sum over all seeds need several of them.
+ * The seeds of the parameterized scenarios; each seed is one test case. {@code -Dscenario.seeds=N} runs seeds 1 to N
+ * (default 4); {@code -Dscenario.seed=S} runs only seed S, to reproduce a failure. Two tests check totals over all
+ * seeds and therefore need several seeds.
  */
 final class Seeds {
     private static final String PROVIDER = "org.spoolline.simulation.Seeds#";
 
-    /** Name of the provider of seeds 1 to N. */
+    /** Method source of seeds 1 to N. */
     static final String EACH = PROVIDER + "each";
-    /** Name of the provider of seeds 1 to 2N, for scenarios that depend more on timing. */
+    /** Method source of seeds 1 to 2N, for scenarios that depend more on timing. */
     static final String TWICE_AS_MANY = PROVIDER + "twiceAsMany";
-    /** Name of the provider of seeds 1 to 3N. */
+    /** Method source of seeds 1 to 3N. */
     static final String THREE_TIMES_AS_MANY = PROVIDER + "threeTimesAsMany";
 
     private static final int SEED_COUNT = Integer.getInteger("scenario.seeds", 4);
--- a/src/test/java/org/spoolline/simulation/ServiceLevelChecker.java
+++ b/src/test/java/org/spoolline/simulation/ServiceLevelChecker.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The service levels that the users state: once faults have ended, jobs are answered about, started and completed. */
+/**
+ * Checks the service levels required by the users: once faults have ended, requests about jobs are answered, and jobs
+ * start and complete in time.
+ */
 final class ServiceLevelChecker {
     private static final long MAX_WAIT_DESPITE_CAPACITY_MS = 90_000;
     private static final long MAX_UNANSWERED_MS = 75_000;
@@ -25,7 +28,7 @@
         this.invariants = invariants;
     }
 
-    /** From now on every job must be answered about, and must not wait beside free capacity. */
+    /** Checks from now on that requests about each job are answered and that no job waits despite free capacity. */
     void faultsEnded() {
         checkEverySecond(simulation.now());
     }
@@ -35,20 +38,24 @@
             if (job.accepted()
                     && simulation.now() - Math.max(faultsEndedAt, job.lastAnsweredAt()) > MAX_UNANSWERED_MS
                     && unanswered.add(job.jobId())) {
-                invariants.addViolation("forgotten", "nobody answers about " + job.jobId());
+                invariants.addViolation("forgotten", "no request about " + job.jobId() + " was answered in time");
             }
             if (!waitsDespiteCapacity(job)) {
                 waitingDespiteCapacitySince.remove(job.jobId());
             } else if (simulation.now()
                             - waitingDespiteCapacitySince.computeIfAbsent(job.jobId(), id -> simulation.now())
                     == MAX_WAIT_DESPITE_CAPACITY_MS) {
-                invariants.addViolation("left_waiting", job.jobId() + " waits beside machines with capacity");
+                invariants.addViolation(
+                        "left_waiting", job.jobId() + " waits although schedulable machines have free capacity");
             }
         }
         simulation.at(1_000, () -> checkEverySecond(faultsEndedAt));
     }
 
-    /** True when no machine has a task of the job although it fits free machines and its team's quota. */
+    /**
+     * True if the job is due to run but no worker has a live task of it, although schedulable workers have enough free
+     * cores for it and it fits the remaining quota of its team.
+     */
     private boolean waitsDespiteCapacity(SimulatedJob job) {
         if (!mustBeServed(job)
                 || invariants.isComplete(job.jobId())
@@ -100,7 +107,11 @@
         return usedCores;
     }
 
-    /** Checks that most polls were answered, and that at least half of each group of jobs was served. */
+    /**
+     * Checks at the end of a scenario that at least half of the polls were answered, that at least half of the jobs of
+     * each class, of each team and among the largest of each class completed, and that the largest jobs started in
+     * time.
+     */
     void checkAtEnd() {
         if (simulation.users.unansweredPolls() * 2 > simulation.users.polls()) {
             invariants.addViolation(
--- a/src/test/java/org/spoolline/simulation/SimulatedGangs.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedGangs.java
@@ -7,21 +7,24 @@
 import org.spoolline.simulation.SimulatedTask.ExitCause;
 import org.spoolline.simulation.SimulatedTask.Phase;
 
-/** How the members of a gang find one another, run together, and fail together. */
+/** The members of each gang attempt: they wait for each other, run together and fail together. */
 final class SimulatedGangs {
     private static final long GANG_WAIT_MS = 30_000;
     private static final long MEMBER_CHECK_INTERVAL_MS = 500;
     private static final long MEMBER_LOSS_DETECTION_MS = 2_000;
 
     private final Simulation simulation;
-    /** Members that have pulled their image, by job and attempt. */
+    /** Members that have pulled their image, by job id and attempt number. */
     private final Map<String, Set<SimulatedTask>> membersByAttempt = new HashMap<>();
 
     SimulatedGangs(Simulation simulation) {
         this.simulation = simulation;
     }
 
-    /** A member has its image; the gang runs once all members of its attempt do. */
+    /**
+     * Adds a member that has pulled its image. The gang starts to run once all members of the attempt are live and have
+     * their image; a member that waits longer than {@link #GANG_WAIT_MS} exits.
+     */
     void imagePulled(SimulatedTask task) {
         Set<SimulatedTask> members = members(task);
         members.add(task);
@@ -58,7 +61,7 @@
                 MEMBER_LOSS_DETECTION_MS, () -> members.forEach(member -> member.exit(ExitCause.GANG_MEMBER_LOST)));
     }
 
-    /** The member that runs for the gang has finished: all members complete, unless one was lost. */
+    /** Completes all members when the run time of the gang has elapsed, unless a member has exited before. */
     void complete(SimulatedTask task) {
         Set<SimulatedTask> members = members(task);
         if (!members.stream().allMatch(SimulatedTask::isAlive)) {
--- a/src/test/java/org/spoolline/simulation/SimulatedJob.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedJob.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A job of a simulated user: the submission, what its tasks do beyond it, and what its user was told. */
+/** A job of a simulated user: the submission, the behaviour of its tasks, and the responses that its user received. */
 public final class SimulatedJob {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -30,7 +30,7 @@
 
     // --- the submission
 
-    /** Sets a field of the submission. */
+    /** Sets a field of the submission by its name in the protocol. */
     public SimulatedJob with(String field, Object value) {
         if (value instanceof JsonNode json) {
             body.set(field, json);
@@ -40,13 +40,13 @@
         return this;
     }
 
-    /** Removes a field of the submission. */
+    /** Removes a field of the submission by its name in the protocol. */
     public SimulatedJob without(String field) {
         body.remove(field);
         return this;
     }
 
-    /** Makes other jobs its dependencies, in place of earlier ones. */
+    /** Replaces the dependencies of the job by these jobs. */
     public SimulatedJob dependingOn(SimulatedJob... dependencies) {
         ArrayNode jobIds = body.putArray("waitsOn");
         for (SimulatedJob job : dependencies) {
@@ -95,12 +95,12 @@
         return body.path("standby").asBoolean();
     }
 
-    /** The only zone that it may run in, or null. */
+    /** The zone that the job is restricted to, or null if it may run in any zone. */
     String zone() {
         return body.path("yard").asText(null);
     }
 
-    /** The only machine type that it may run on, or null. */
+    /** The machine type that the job is restricted to, or null if it may run on any type. */
     String type() {
         return body.has("builds") ? body.path("builds").get(0).asText() : null;
     }
@@ -117,22 +117,22 @@
         return body.path("bookmarkS").asDouble() > 0;
     }
 
-    /** Ids of the jobs that it depends on. */
+    /** Ids of the jobs that this job directly depends on. */
     List<String> dependencies() {
         List<String> jobIds = new ArrayList<>();
         body.path("waitsOn").forEach(jobId -> jobIds.add(jobId.asText()));
         return jobIds;
     }
 
-    // --- what its tasks do
+    // --- behaviour of its tasks
 
-    /** Each task runs so much longer than the one before. */
+    /** Makes each task run this much longer than the task with the previous index. */
     public SimulatedJob withRunTimeStepMs(long ms) {
         runTimeStepMs = ms;
         return this;
     }
 
-    /** Every task fails on every machine. */
+    /** Makes every task of the job fail on every machine. */
     public SimulatedJob failingEverywhere() {
         failsEverywhere = true;
         return this;
@@ -142,19 +142,19 @@
         return failsEverywhere;
     }
 
-    /** How long one task of an array runs. */
+    /** Run time of a task of an array job. */
     long runMs(int taskIndex) {
         return runMs + taskIndex * runTimeStepMs;
     }
 
-    /** How long a gang runs. */
+    /** Run time of a gang. */
     long gangRunMs() {
         return runMs;
     }
 
-    // --- what its user did and was told
+    // --- requests of its user and responses
 
-    /** Declares a job that can never run or lacks a field: it must be rejected for good. */
+    /** Marks a job that can never run or lacks a required field, so that controllers must reject it permanently. */
     public SimulatedJob markInvalid() {
         invalid = true;
         return this;
@@ -168,7 +168,7 @@
         submittedAt = submittedAt < 0 ? now : submittedAt;
     }
 
-    /** When it was first submitted, or -1. */
+    /** The time of the first submission, or -1 if there was none. */
     long submittedAt() {
         return submittedAt;
     }
@@ -177,7 +177,7 @@
         accepted = true;
     }
 
-    /** True once a submission was accepted. */
+    /** True once a controller has accepted the job. */
     public boolean accepted() {
         return accepted;
     }
@@ -186,7 +186,7 @@
         rejected = true;
     }
 
-    /** True once it was rejected for good. */
+    /** True once a controller has rejected the job permanently. */
     public boolean rejected() {
         return rejected;
     }
@@ -204,12 +204,12 @@
         lastAnsweredAt = now;
     }
 
-    /** The status that its user was told last, or empty. */
+    /** The last status that its user received, or an empty string if none. */
     public String status() {
         return status;
     }
 
-    /** When a request about it was last answered, or -1. */
+    /** The time at which its user last received a status, or -1 if never. */
     long lastAnsweredAt() {
         return lastAnsweredAt;
     }
--- a/src/test/java/org/spoolline/simulation/SimulatedSettings.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedSettings.java
@@ -5,16 +5,19 @@
 import org.spoolline.config.SettingsException;
 import org.spoolline.config.SettingsFile;
 
-/** The settings file of each controller: two teams, a guest without guarantee and limit, and store limits that the scenario scales or announces. */
+/**
+ * Creates the settings file of each controller. It has two teams, a team "guest" without a guarantee and without a
+ * limit, and limits of the key-value store that a scenario can change or announce.
+ */
 final class SimulatedSettings {
     private final int teamScale;
     private final int storeRequestsPerS;
-    /** Limits of the key-value store that the settings announce, as TOML. */
+    /** Announced future limits of the key-value store as TOML, or empty for none. */
     private String announcedLimits = "";
 
     private int writesPerS = 60;
 
-    /** Quotas and guarantees of the teams are {@code teamScale} times the usual ones. */
+    /** Creates settings whose teams have {@code teamScale} times the default guarantees and quotas. */
     SimulatedSettings(int teamScale, int storeRequestsPerS) {
         this.teamScale = teamScale;
         this.storeRequestsPerS = storeRequestsPerS;
@@ -25,12 +28,12 @@
                 + "\nwrite_rps = " + writesPerS + ".0\n";
     }
 
-    /** The rate limit of writes to the key-value store that the settings name from now on. */
+    /** Sets the rate limit of writes to the key-value store in settings created from now on. */
     void limitWrites(int limitPerS) {
         writesPerS = limitPerS;
     }
 
-    /** The settings with which one of the controllers starts now. */
+    /** The settings that the controller would start with now; {@code all} are the controllers of the cluster. */
     Settings forController(ControllerProcess process, Collection<ControllerProcess> all) {
         StringBuilder toml = new StringBuilder();
         toml.append("node_name = \"")
--- a/src/test/java/org/spoolline/simulation/SimulatedTask.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedTask.java
@@ -2,9 +2,9 @@
 
 import java.util.Optional;
 
-/** One attempt of a task on a worker. */
+/** An attempt to run a task on a worker. */
 final class SimulatedTask {
-    /** How far an attempt has come, with the users' name of it. */
+    /** The phase of an attempt, with its name in the protocol. */
     enum Phase {
         PULLING_IMAGE("pulling"),
         WAITING_FOR_GANG("gathering"),
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Why an attempt has exited, with the users' name of it. */
+    /** Why an attempt has exited, with the name of the cause in the protocol. */
     enum ExitCause {
         COMPLETED("done"),
         FAILED("error"),
@@ -54,7 +54,7 @@
     private Optional<ExitCause> cause = Optional.empty();
     private boolean checkpointSaved;
 
-    /** {@code taskId} is {@code jobId/index}. */
+    /** Creates an attempt that pulls its image; {@code taskId} has the form {@code jobId/index}. */
     SimulatedTask(InvariantChecker invariants, FakeWorker worker, String taskId, long attempt) {
         int slash = taskId.indexOf('/');
         this.invariants = invariants;
@@ -104,13 +104,13 @@
         phase = newPhase;
     }
 
-    /** Ends the attempt on command, with or without a checkpoint. */
+    /** Ends the attempt on a kill command, with or without saving a checkpoint. */
     void kill(boolean withCheckpoint) {
         checkpointSaved = withCheckpoint;
         exit(ExitCause.KILLED);
     }
 
-    /** Ends the attempt, unless it has ended before, and lets its worker send a heartbeat. */
+    /** Ends the attempt and makes its worker send a heartbeat; does nothing if the attempt has already exited. */
     void exit(ExitCause exitCause) {
         if (isAlive()) {
             end(exitCause);
@@ -118,7 +118,10 @@
         }
     }
 
-    /** Ends the attempt with its machine or lease, unless it has ended before. */
+    /**
+     * Ends the attempt because its machine went down or its worker's lease expired; does nothing if the attempt has
+     * already exited.
+     */
     void lose() {
         if (isAlive()) {
             end(ExitCause.MACHINE_LOST);
--- a/src/test/java/org/spoolline/simulation/SimulatedUsers.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedUsers.java
@@ -9,7 +9,7 @@
 import org.spoolline.net.Json;
 import org.spoolline.pipeline.SampleSubmissions;
 
-/** Users who submit, poll and cancel jobs through random controllers, and retry until they get an answer. */
+/** Users who submit, poll and cancel jobs at randomly chosen controllers and retry until they get a response. */
 public final class SimulatedUsers {
     private static final long SUBMIT_TIMEOUT_MS = 5_000;
     private static final long POLL_TIMEOUT_MS = 2_000;
@@ -35,43 +35,49 @@
         return gangs;
     }
 
-    /** The job of that id, or null. */
+    /** The job with this id, or null if there is none. */
     SimulatedJob job(String jobId) {
         return jobs.get(jobId);
     }
 
-    /** All jobs, submitted or not, in order of creation. */
+    /** All jobs in order of creation, including those not submitted yet. */
     public Iterable<SimulatedJob> jobs() {
         return jobs.values();
     }
 
-    /** True for a job whose description workers can fetch. */
+    /** True if the job exists, so that workers can fetch its description. */
     boolean hasSubmitted(String jobId) {
         return jobs.containsKey(jobId);
     }
 
-    /** All polls, answered or not. */
+    /** The number of polls, answered or not. */
     int polls() {
         return polls;
     }
 
-    /** Polls that got no status. */
+    /** The number of polls that returned no status. */
     int unansweredPolls() {
         return unansweredPolls;
     }
 
-    /** Jobs that were cancelled by {@link #cancelAtCompletion}. */
+    /** The number of jobs cancelled by {@link #cancelAtCompletion}. */
     int cancelledAtCompletion() {
         return cancelledAtCompletion;
     }
 
-    /** Half the nominal time for the small images of most jobs; pulls of large ones differ by a third either way. */
+    /**
+     * Duration of an image pull, nominally 1 s per GB. An image of at most 1 GB takes half the nominal time; a larger
+     * one takes a random time up to a third below or above it.
+     */
     long imagePullMs(String jobId) {
         double ms = jobs.get(jobId).imageGb() * 1_000;
         return (long) (ms > 1_000 ? ms * (0.67 + 0.67 * simulation.random.nextDouble()) : ms / 2);
     }
 
-    /** Creates a job without submitting it; {@code shape} is the users' word for an array or a gang. */
+    /**
+     * Creates a job without submitting it; {@code shape} is the protocol value for an array ("batch") or a gang
+     * ("group").
+     */
     public SimulatedJob job(String team, String shape, int tasks, double cores, double runS) {
         String jobId = String.format("run-%06d", ++jobCount);
         ObjectNode body =
@@ -81,7 +87,7 @@
         return job;
     }
 
-    /** Submits the job until it is accepted or rejected for good, and polls it from then on. */
+    /** Submits the job, retries until it is accepted or permanently rejected, and polls it once accepted. */
     public SimulatedJob submit(SimulatedJob job) {
         Http.Request request = new Http.Request("POST", "/submissions", "", Json.bytes(job.body()));
         long sentAt = simulation.now();
@@ -106,13 +112,19 @@
         return job;
     }
 
-    /** For so many seconds that share of the jobs is cancelled at the very moment of completion. */
+    /**
+     * For the given number of seconds, cancels this share of the jobs, chosen at random, at the moment at which their
+     * last task completes.
+     */
     public void cancelAtCompletion(double share, double seconds) {
         cancelAtCompletionShare = share;
         simulation.at((long) (seconds * 1000), () -> cancelAtCompletionShare = 0);
     }
 
-    /** If the job is complete with this task, its user may cancel, poll and resubmit it at this very moment. */
+    /**
+     * Called when a task has completed. If it completes its job, the job may be cancelled and resubmitted at this
+     * moment, see {@link #cancelAtCompletion}.
+     */
     void taskCompleted(SimulatedTask task) {
         SimulatedJob job = jobs.get(task.jobId());
         if (cancelAtCompletionShare > 0
@@ -141,7 +153,7 @@
         });
     }
 
-    /** Cancels the job, until the cancellation is confirmed. */
+    /** Cancels the job and retries until a controller confirms the cancellation. */
     public void cancel(SimulatedJob job) {
         job.requestCancel();
         long sentAt = simulation.now();
@@ -155,7 +167,7 @@
         });
     }
 
-    /** Polls a job that nobody has submitted and passes on the response status. */
+    /** Polls a job that no user has submitted and passes the HTTP status of the response to {@code onStatus}. */
     public void pollUnknownJob(Consumer<Integer> onStatus) {
         send(new Http.Request("GET", "/submissions/" + UNKNOWN_JOB, "", new byte[0]), POLL_TIMEOUT_MS, reply -> {
             if (reply.status() == 200) {
--- a/src/test/java/org/spoolline/simulation/Simulation.java
+++ b/src/test/java/org/spoolline/simulation/Simulation.java
@@ -10,9 +10,9 @@
 import org.spoolline.net.Http;
 
 /**
- * An in-memory deployment: controllers, key-value store, cloud, workers and users under simulated time and seeded
- * randomness. A scenario replays the same for the same seed, in any run; {@link TraceDigest} shows whether it did.
- * {@link InvariantChecker} observes what tasks do and what users are told.
+ * An in-memory deployment of controllers, key-value store, cloud, workers and users, with simulated time and a seeded
+ * random number generator. The same scenario with the same seed always runs identically; {@link TraceDigest} can
+ * verify this. {@link InvariantChecker} checks the execution of tasks and the responses to users.
  */
 public final class Simulation {
     /** Time of day at simulated time 0, in milliseconds since the epoch. */
@@ -34,12 +34,12 @@
         this(seed, 1);
     }
 
-    /** A simulation whose teams have {@code teamScale} times the usual guarantees and quotas. */
+    /** Creates a simulation whose teams have {@code teamScale} times the default guarantees and quotas. */
     public Simulation(long seed, int teamScale) {
         this(seed, teamScale, DEFAULT_STORE_REQUESTS_PER_S);
     }
 
-    /** A simulation with a rate limit of so many requests a second to the key-value store. */
+    /** Creates a simulation in which the key-value store allows {@code storeRequestsPerS} requests per second. */
     public Simulation(long seed, int teamScale, int storeRequestsPerS) {
         random = new SplittableRandom(seed);
         controllers = new Controllers(events, random, new SimulatedSettings(teamScale, storeRequestsPerS));
@@ -50,32 +50,32 @@
         controllers.startAll(network);
     }
 
-    /** Simulated milliseconds since the start. */
+    /** Simulated time since the start, in milliseconds. */
     public long now() {
         return events.now();
     }
 
-    /** Runs the action after the delay in milliseconds. */
+    /** Schedules the action to run after the delay in milliseconds. */
     public void at(long delayMs, Runnable action) {
         events.schedule(delayMs, action);
     }
 
-    /** Lets so many seconds pass. */
+    /** Runs the simulation for the given number of simulated seconds. */
     public void run(double seconds) {
         events.run(seconds);
     }
 
-    /** The settings with which the named controller starts now. */
+    /** The settings that the named controller would start with now. */
     public Settings settings(String controller) {
         return controllers.settings(controller);
     }
 
-    /** The controller that the key-value store names as leader, or null. */
+    /** The name of the controller stored as leader in the key-value store, or null if there is none. */
     public String leader() {
         return store.leader();
     }
 
-    /** All workers by machine name, in order of their first boot, those that are down too. */
+    /** All workers by machine name in order of their first boot, including those that are down. */
     public Map<String, FakeWorker> workers() {
         return workers;
     }
@@ -95,7 +95,10 @@
         }
     }
 
-    /** True for a write of the sender's version, which an older controller does not make. */
+    /**
+     * True for a commit with a version record from a controller on the older version. The older version does not write
+     * this record, so the simulation drops it.
+     */
     private boolean isVersionRecordOfOlderController(Network.Message message) {
         return controllers.runsOlderVersion(message.from())
                 && new String(message.request().body(), UTF_8).contains("version/");
--- a/src/test/java/org/spoolline/simulation/TraceDigest.java
+++ b/src/test/java/org/spoolline/simulation/TraceDigest.java
@@ -19,21 +19,22 @@
 import org.spoolline.net.Http;
 
 /**
- * A hash of every message between the processes of one {@link Simulation}: for a request the simulated time, sender,
- * target, method, path, query and body; for its reply the simulated time at which the caller receives it, status and
- * body. A timeout counts as a reply with status 0, and a reply after it does not count, since no caller receives it.
+ * A hash of all messages between the processes of one {@link Simulation}. For a request it covers the simulated time,
+ * sender, target, method, path, query and body; for its reply the simulated time at which the caller receives it,
+ * status and body. A timeout counts as a reply with status 0; a reply after the timeout does not count, since the
+ * caller does not receive it.
  *
  * <h2>Use</h2>
  *
- * It is off unless the system property {@code trace.digest} names a file. That file is written when the JVM ends, with
- * one line for each simulation, sorted:
+ * The digest is disabled unless the system property {@code trace.digest} names a file. The file is written when the JVM
+ * exits, with one line per simulation in sorted order:
  *
  * <pre>{@code
  * org.spoolline.simulation.StaleLeaderTest#aTest seed=1 simulation=1 messages=1234 0123456789abcdef0123456789abcdef
  * }</pre>
  *
- * {@code simulation} counts the simulations that a test method created with the same seed, from 1. To see whether two
- * runs, or the same tests before and after a change that should change no message, sent the same:
+ * {@code simulation} numbers the simulations that a test method created with the same seed, from 1. To check that a
+ * change of the program changes no message, run the same tests before and after it and compare the files:
  *
  * <pre>{@code
  * mvn test -Dtest='org.spoolline.simulation.*Test' -Dtrace.digest=target/before.txt
@@ -41,15 +42,15 @@
  * diff target/before.txt target/after.txt
  * }</pre>
  *
- * {@code -Dscenario.seeds=N} asks for more seeds, see {@link Seeds}. The file is overwritten, so two test JVMs at a
- * time need two names. It is a tool for comparison; no digest is kept in the repository, since most changes of the
- * program change some message.
+ * {@code -Dscenario.seeds=N} runs more seeds, see {@link Seeds}. The file is overwritten, so concurrent test JVMs need
+ * different file names. The repository contains no digest to compare with, since most changes of the program change
+ * some message.
  */
 final class TraceDigest {
     private static final String FILE = System.getProperty("trace.digest", "");
     private static final String PACKAGES = "org.spoolline.";
     private static final String NO_TEST = "no test";
-    /** All simulations of this JVM while the digest is on. */
+    /** The digests of all simulations of this JVM. */
     private static final List<TraceDigest> DIGESTS = new ArrayList<>();
 
     private static final Map<String, Integer> SIMULATION_COUNTS = new HashMap<>();
@@ -64,12 +65,12 @@
     private final Hasher hasher = Hashing.murmur3_128().newHasher();
     private long messages;
 
-    /** {@code label} is what the line says before the number of messages. */
+    /** {@code label} is the text of the line before the number of messages. */
     TraceDigest(String label) {
         this.label = label;
     }
 
-    /** The digest of a new simulation, if any is asked for. */
+    /** Creates the digest of a new simulation, or returns empty if the digest is disabled. */
     static Optional<TraceDigest> ofNewSimulation(long seed) {
         if (!isEnabled()) {
             return Optional.empty();
@@ -86,7 +87,7 @@
         return !FILE.isBlank();
     }
 
-    /** The outermost method of a test class among the callers, as {@code class#method}. */
+    /** The outermost method of a test class on the call stack as {@code class#method}, or {@link #NO_TEST}. */
     static String testOnStack() {
         return StackWalker.getInstance()
                 .walk(frames -> frames.filter(TraceDigest::isInTestClass).reduce((inner, outer) -> outer))
@@ -99,7 +100,7 @@
         return name.startsWith(PACKAGES) && (name.endsWith("Test") || name.contains("Test$"));
     }
 
-    /** Adds a request; the consumer returned adds its reply and passes it on to {@code done}. */
+    /** Adds a request. The returned consumer adds the reply and passes it on to {@code done}. */
     synchronized Consumer<Http.Reply> addRequest(
             LongSupplier now, String from, String target, Http.Request request, Consumer<Http.Reply> done) {
         long messageNumber = ++messages;
@@ -121,7 +122,7 @@
         putBytes(reply.body());
     }
 
-    /** With its length, so that no two sequences of fields are the same bytes. */
+    /** Adds the length before the value, so that different sequences of fields never give the same bytes. */
     private void putBytes(byte[] value) {
         hasher.putInt(value.length).putBytes(value);
     }
@@ -130,7 +131,7 @@
         putBytes(value.getBytes(UTF_8));
     }
 
-    /** The simulation's line; nothing can be added after it. */
+    /** The line of this simulation. It finishes the hash, so no message can be added afterwards. */
     synchronized String line() {
         return label + " messages=" + messages + " " + hasher.hash();
     }
--- a/src/test/java/org/spoolline/simulation/TraceDigestTest.java
+++ b/src/test/java/org/spoolline/simulation/TraceDigestTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.spoolline.net.Http;
 
-/** The digest covers every part of every message and names the test. */
+/**
+ * The digest must differ if any part of a message differs, and be the same for the same seed; otherwise a changed
+ * message would go unnoticed in a comparison. Its line must name the test method.
+ */
 class TraceDigestTest {
     private static final Http.Request REQUEST = new Http.Request("POST", "/p", "", "body".getBytes(UTF_8));
     private static final Http.Reply REPLY = new Http.Reply(200, "answer".getBytes(UTF_8));
--- a/src/test/java/org/spoolline/simulation/WorkerTasks.java
+++ b/src/test/java/org/spoolline/simulation/WorkerTasks.java
@@ -13,14 +13,14 @@
 import org.spoolline.simulation.SimulatedTask.ExitCause;
 import org.spoolline.simulation.SimulatedTask.Phase;
 
-/** The attempts on one worker: launch, image pull, run, kill and clear. */
+/** The attempts on one worker, and the execution of the launch, kill and clear commands. */
 final class WorkerTasks {
     private static final long CACHED_IMAGE_PULL_MS = 50;
     private static final long PROGRESS_STEP_MS = 200;
 
     private final Simulation simulation;
     private final FakeWorker worker;
-    /** By task id and attempt, in order of launch. */
+    /** Attempts by task id and attempt number, in order of launch. */
     private final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
     private final Set<String> cachedImages = new HashSet<>();
@@ -30,12 +30,12 @@
         this.worker = worker;
     }
 
-    /** A copy, in order of launch. */
+    /** A copy of the attempts in order of launch. */
     List<SimulatedTask> list() {
         return new ArrayList<>(tasks.values());
     }
 
-    /** Cores that live attempts hold, those that still pull their image too. */
+    /** Cores allocated to live attempts; an attempt that still pulls its image counts as live. */
     double usedCores() {
         return tasks.values().stream()
                 .filter(SimulatedTask::isAlive)
@@ -43,13 +43,13 @@
                 .sum();
     }
 
-    /** Ends all attempts and forgets them. */
+    /** Ends all live attempts as lost with the machine and removes all attempts. */
     void loseAll() {
         tasks.values().forEach(SimulatedTask::lose);
         tasks.clear();
     }
 
-    /** Adds the status of each attempt to a heartbeat. */
+    /** Adds the status of each attempt to the array of a heartbeat. */
     void writeStatus(ArrayNode statuses) {
         for (SimulatedTask task : tasks.values()) {
             ObjectNode status = statuses.addObject()
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Carries out one command of the leader; repeating it changes nothing. */
+    /** Executes one command of the leader. Commands are idempotent. */
     void execute(JsonNode command) {
         String taskId = command.path("slip").asText();
         long attempt = command.path("try").asLong();
@@ -102,7 +102,7 @@
         simulation.at(pullMs, () -> imagePulled(task, image));
     }
 
-    /** Why the worker does not launch a task that is not among its tasks yet, if so. */
+    /** Why the worker rejects the launch of a new attempt, or empty if it accepts the launch. */
     private Optional<ExitCause> rejectionCause(SimulatedTask task) {
         if (!simulation.users.hasSubmitted(task.jobId())) {
             return Optional.of(ExitCause.JOB_UNKNOWN);
@@ -139,7 +139,10 @@
         worker.requestHeartbeat();
     }
 
-    /** Completes the task after its time, unless it ends before; a hanging worker makes no progress. */
+    /**
+     * Completes the task, or its gang, after it has run for the remaining time, unless the attempt ends earlier. Time
+     * during which the worker hangs does not count.
+     */
     void runFor(SimulatedTask task, long remainingMs) {
         simulation.at(PROGRESS_STEP_MS, () -> {
             if (worker.isDown() || !task.isAlive()) {
