--- a/src/test/java/org/spoolline/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/spoolline/simulation/FakeKeyValueStore.java
@@ -13,7 +13,7 @@
 import org.spoolline.net.Json;
 import org.spoolline.simulation.KeyValueData.StoredValue;
 
-/** The key-value store by PROTOCOL, as far as controllers use it, and its faults. */
+/** An in-memory key-value store with the requests of PROTOCOL that controllers use, and fault injection. */
 public final class FakeKeyValueStore {
     private static final int CONDITIONS_PER_OP = 4;
     private static final int MAX_TXN_BYTES = 64 * 1024;
@@ -22,7 +22,7 @@
     private final Simulation simulation;
     private final KeyValueData data = new KeyValueData();
     private final KeyValueWatches watches;
-    /** The limits in the settings of {@link SimulatedSettings}. */
+    /** Equal to the limit in {@link SimulatedSettings}, as is {@link #maxTxnOps}. */
     private int maxValueBytes = 8 * 1024;
 
     private int maxTxnOps = 12;
@@ -33,123 +33,135 @@
     private int oversizedCommits;
     private int delayedCommits;
     private int delayedCommitsApplied;
-    /** The next so many commits are applied, but their response is lost. */
+    /** The number of commits from now on that are applied without a response to the caller. */
     public int commitResponsesToLose;
-    /** The next so many commits are applied only after the caller's timeout. */
+    /** The number of commits from now on that are applied only after the caller has timed out. */
     public int commitsToDelay;
 
     FakeKeyValueStore(Simulation simulation) {
         this.simulation = simulation;
-        this.watches = new KeyValueWatches(simulation, data, this::rejects);
-        expireLeases();
+        this.watches = new KeyValueWatches(simulation, data, this::isRejected);
+        expireLeasesPeriodically();
     }
 
-    private void expireLeases() {
+    private void expireLeasesPeriodically() {
         if (!outage) {
-            data.expiredLeases(simulation.now()).forEach(this::endLease);
+            data.expiredLeases(simulation.now()).forEach(this::deleteLease);
         }
-        simulation.at(LEASE_CHECK_MS, this::expireLeases);
+        simulation.at(LEASE_CHECK_MS, this::expireLeasesPeriodically);
     }
 
     // --- faults
 
-    /** Every request gets 503 for so many seconds; after them every lease has its full time again. */
+    /**
+     * Answers every request with 503 for the given number of seconds. No lease expires meanwhile, and each lease is
+     * renewed for its full duration at the end.
+     */
     public void outage(double seconds) {
         outage = true;
         simulation.at((long) (seconds * 1000), () -> {
             outage = false;
             data.renewAllLeases(simulation.now());
-            watches.answerChanged();
+            watches.respondToChangedWatches();
         });
     }
 
-    /** One host alone gets 503; its leases expire, and its open watches wait as in an outage. */
+    /**
+     * Answers the requests of one host with 503 for the given number of seconds. Its leases may expire meanwhile; its
+     * open watches get no response until the end.
+     */
     public void rejectHost(String host, double seconds) {
         rejectedHosts.add(host);
         simulation.at((long) (seconds * 1000), () -> {
             rejectedHosts.remove(host);
-            watches.answerChanged();
+            watches.respondToChangedWatches();
         });
     }
 
-    private boolean rejects(String host) {
+    private boolean isRejected(String host) {
         return outage || rejectedHosts.contains(host);
     }
 
-    /** The responses to one host's watches are lost, while its other requests are answered. */
+    /** Drops the responses to watches of one host; its other requests are answered. */
     public void loseWatchResponses(String host, double seconds) {
         watches.loseResponsesTo(host, seconds);
     }
 
-    /** Listings get no response, while other requests do: pages may be large, and slow links lose them first. */
+    /**
+     * Drops list requests for the given number of seconds and answers all others. This models a slow link, on which
+     * large pages time out first.
+     */
     public void dropListings(double seconds) {
         listingsDropped = true;
         simulation.at((long) (seconds * 1000), () -> listingsDropped = false);
     }
 
-    /** That share of the commits gets no response and is applied 2 to 12 s later, after newer ones. */
+    /**
+     * For the given number of seconds, sends no response to this share of the commits, chosen at random, and applies
+     * each of them 2 to 12 s late, possibly after newer commits.
+     */
     public void delayCommits(double share, double seconds) {
         delayedCommitShare = share;
         simulation.at((long) (seconds * 1000), () -> delayedCommitShare = 0);
     }
 
-    /** From now on larger values and transactions get 400; what is stored stays readable. */
+    /** Answers commits over these limits with 400 from now on; larger values already stored stay readable. */
     public void lowerLimits(int valueBytes, int txnOps) {
         maxValueBytes = valueBytes;
         maxTxnOps = txnOps;
     }
 
-    // --- what scenarios look at
+    // --- state read by scenarios
 
-    /** The controller named as leader, or null. */
+    /** The name of the controller stored as leader, or null if there is none. */
     String leader() {
         return data.get("leader")
                 .map(leader -> leader.json().path("node").asText())
                 .orElse(null);
     }
 
-    /** The value of a key, or a missing node. */
+    /** The value of the key, or a missing node if the key does not exist. */
     public JsonNode value(String key) {
         return data.get(key).map(StoredValue::json).orElse(MissingNode.getInstance());
     }
 
-    /** Stores a value at the start of a scenario. */
+    /** Stores a value without a lease, as initial data of a scenario. */
     void put(String key, JsonNode value) {
         data.beginRevision();
         data.set(key, value, 0);
     }
 
-    /** Commits that were rejected for their size. */
+    /** The number of commits rejected because they exceeded a size limit. */
     public int oversizedCommits() {
         return oversizedCommits;
     }
 
-    /** Commits that {@link #delayCommits} delayed. */
+    /** The number of commits delayed by {@link #delayCommits}. */
     int delayedCommits() {
         return delayedCommits;
     }
 
-    /** Delayed commits whose conditions still held. */
+    /** The number of delayed commits that were applied because their conditions still held. */
     int delayedCommitsApplied() {
         return delayedCommitsApplied;
     }
 
-    // --- the protocol
+    // --- requests
 
     void handle(String from, Http.Request request, Consumer<Http.Response> reply) {
         String path = request.path();
-        if (rejects(from)) {
+        if (isRejected(from)) {
             reply.accept(Http.Response.of(503, new byte[0]));
         } else if (path.startsWith("/follow")) {
-            watches.open(from, query(path), reply);
+            watches.open(from, queryParameters(path), reply);
         } else if (path.startsWith("/keys/")) {
             get(path.substring(6), reply);
         } else if (path.startsWith("/keys?")) {
             if (!listingsDropped) {
-                list(query(path), reply);
+                list(queryParameters(path), reply);
             }
         } else if (path.equals("/commit")) {
-            receiveCommit(Json.read(request.body()), reply);
+            handleCommit(Json.read(request.body()), reply);
         } else {
             handleLease(request, reply);
         }
@@ -160,27 +172,27 @@
         if (path.equals("/leases")) {
             long ttlMs = Json.read(request.body()).path("ttlMs").asLong();
             long lease = data.createLease(ttlMs, simulation.now());
-            answer(reply, 200, Json.object().put("ticket", lease));
+            respond(reply, 200, Json.object().put("ticket", lease));
         } else if (request.method().equals("DELETE")) {
-            endLease(leaseOf(path));
-            answer(reply, 200, Json.object());
+            deleteLease(leaseInPath(path));
+            respond(reply, 200, Json.object());
         } else if (!path.endsWith("/touch")) {
-            answer(reply, 400, Json.object());
-        } else if (data.hasLease(leaseOf(path))) {
-            data.renewLease(leaseOf(path), simulation.now());
-            answer(reply, 200, Json.object());
+            respond(reply, 400, Json.object());
+        } else if (data.hasLease(leaseInPath(path))) {
+            data.renewLease(leaseInPath(path), simulation.now());
+            respond(reply, 200, Json.object());
         } else {
-            answer(reply, 404, Json.object());
+            respond(reply, 404, Json.object());
         }
     }
 
-    private static long leaseOf(String path) {
+    private static long leaseInPath(String path) {
         return Long.parseLong(path.split("/")[2]);
     }
 
-    private void endLease(long lease) {
-        data.endLease(lease);
-        watches.answerChanged();
+    private void deleteLease(long lease) {
+        data.deleteLease(lease);
+        watches.respondToChangedWatches();
     }
 
     private void get(String key, Consumer<Http.Response> reply) {
@@ -189,21 +201,21 @@
                         value -> {
                             ObjectNode body = Json.object().put("key", key).put("stamp", value.revision());
                             body.set("v", value.json());
-                            answer(reply, 200, body);
+                            respond(reply, 200, body);
                         },
-                        () -> answer(reply, 404, Json.object().put("ledger", data.revision())));
+                        () -> respond(reply, 404, Json.object().put("ledger", data.revision())));
     }
 
     private void list(Map<String, String> query, Consumer<Http.Response> reply) {
         ObjectNode body = Json.object().put("ledger", data.revision());
         ArrayNode pairs = body.putArray("pairs");
-        boolean more = false;
-        int limit = Integer.parseInt(query.getOrDefault("most", "1000"));
+        boolean hasNext = false;
+        int pageSize = Integer.parseInt(query.getOrDefault("most", "1000"));
         for (Map.Entry<String, StoredValue> entry :
-                data.after(query.getOrDefault("after", "")).entrySet()) {
+                data.entriesAfter(query.getOrDefault("after", "")).entrySet()) {
             if (entry.getKey().startsWith(query.get("prefix"))) {
-                if (pairs.size() == limit) {
-                    more = true;
+                if (pairs.size() == pageSize) {
+                    hasNext = true;
                     break;
                 }
                 pairs.addObject()
@@ -212,24 +224,24 @@
                         .set("v", entry.getValue().json());
             }
         }
-        body.put("hasNext", more);
-        answer(reply, 200, body);
+        body.put("hasNext", hasNext);
+        respond(reply, 200, body);
     }
 
     // --- commits
 
-    private void receiveCommit(JsonNode body, Consumer<Http.Response> reply) {
+    private void handleCommit(JsonNode body, Consumer<Http.Response> reply) {
         if (commitsToDelay > 0) {
             commitsToDelay--;
-            simulation.at(5_000, () -> commit(body, lost -> {}));
+            simulation.at(5_000, () -> commit(body, response -> {}));
         } else if (delayedCommitShare > 0 && simulation.random.nextDouble() < delayedCommitShare) {
             delayedCommits++;
             simulation.at(
                     2_000 + simulation.random.nextInt(10_000),
-                    () -> commit(body, lost -> delayedCommitsApplied += lost.status() == 200 ? 1 : 0));
+                    () -> commit(body, response -> delayedCommitsApplied += response.status() == 200 ? 1 : 0));
         } else if (commitResponsesToLose > 0) {
             commitResponsesToLose--;
-            commit(body, lost -> {});
+            commit(body, response -> {});
         } else {
             commit(body, reply);
         }
@@ -238,26 +250,26 @@
     private void commit(JsonNode body, Consumer<Http.Response> reply) {
         if (exceedsLimits(body)) {
             oversizedCommits++;
-            answer(reply, 400, Json.object().put("error", "too large"));
+            respond(reply, 400, Json.object().put("error", "too large"));
             return;
         }
         for (JsonNode write : body.path("writes")) {
             if (write.has("ticket") && !data.hasLease(write.path("ticket").asLong())) {
-                answer(reply, 400, Json.object().put("error", "no such lease"));
+                respond(reply, 400, Json.object().put("error", "no such lease"));
                 return;
             }
         }
         ArrayNode failed = failedConditions(body.path("if"));
         if (!failed.isEmpty()) {
-            ObjectNode answer = Json.object().put("ledger", data.revision());
-            answer.set("failed", failed);
-            answer(reply, 409, answer);
+            ObjectNode response = Json.object().put("ledger", data.revision());
+            response.set("failed", failed);
+            respond(reply, 409, response);
             return;
         }
         if (!body.path("writes").isEmpty()) {
             apply(body.path("writes"));
         }
-        answer(reply, 200, Json.object().put("ledger", data.revision()));
+        respond(reply, 200, Json.object().put("ledger", data.revision()));
     }
 
     private boolean exceedsLimits(JsonNode body) {
@@ -275,8 +287,8 @@
         ArrayNode failed = Json.array();
         for (JsonNode condition : conditions) {
             String key = condition.path("key").asText();
-            long actual = data.get(key).map(StoredValue::revision).orElse(0L);
-            if (actual != condition.path("stamp").asLong()) {
+            long revision = data.get(key).map(StoredValue::revision).orElse(0L);
+            if (revision != condition.path("stamp").asLong()) {
                 failed.add(key);
             }
         }
@@ -295,19 +307,19 @@
                 data.remove(write.path("remove").asText());
             }
         }
-        watches.answerChanged();
+        watches.respondToChangedWatches();
     }
 
-    private static Map<String, String> query(String path) {
-        Map<String, String> query = new HashMap<>();
-        for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
-            int equals = part.indexOf('=');
-            query.put(part.substring(0, equals), part.substring(equals + 1));
+    private static Map<String, String> queryParameters(String path) {
+        Map<String, String> parameters = new HashMap<>();
+        for (String parameter : path.substring(path.indexOf('?') + 1).split("&")) {
+            int separator = parameter.indexOf('=');
+            parameters.put(parameter.substring(0, separator), parameter.substring(separator + 1));
         }
-        return query;
+        return parameters;
     }
 
-    private static void answer(Consumer<Http.Response> reply, int status, JsonNode body) {
+    private static void respond(Consumer<Http.Response> reply, int status, JsonNode body) {
         reply.accept(Http.Response.of(status, Json.bytes(body)));
     }
 }
--- a/src/test/java/org/spoolline/simulation/InvariantChecker.java
+++ b/src/test/java/org/spoolline/simulation/InvariantChecker.java
@@ -12,12 +12,12 @@
 import org.spoolline.config.Settings;
 
 /**
- * The safety rules of PROTOCOL, checked on what tasks do and users are told, without access to the controllers' state.
- * {@link ServiceLevelChecker} checks what must happen in time.
+ * Checks the safety rules of PROTOCOL against the tasks that workers run and the responses that users receive. It does
+ * not read the state of the controllers. {@link ServiceLevelChecker} checks the time limits.
  */
 public final class InvariantChecker {
-    private static final long RESPONSE_TIMEOUT_MS = 4_000;
-    private static final double ROUNDING = 1e-6;
+    private static final long REQUEST_TIMEOUT_MS = 4_000;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
     private static final String DONE = "done";
     private static final String CANCELLED = "aborted";
 
@@ -28,7 +28,7 @@
     private final Map<String, Set<Integer>> completedTasks = new HashMap<>();
     private final Map<String, Long> completeSince = new HashMap<>();
     private final Map<String, Long> firstStart = new HashMap<>();
-    /** When a user was first told that the job is cancelled. */
+    /** By job id, the time at which a user first received a response with the status cancelled. */
     private final Map<String, Long> cancelledAt = new HashMap<>();
 
     private final Map<String, String> terminalStatus = new HashMap<>();
@@ -41,22 +41,22 @@
         this.serviceLevels = new ServiceLevelChecker(simulation, this);
     }
 
-    /** One line per violation, which begins with the rule's name. */
+    /** One line per violation; each line begins with the name of the violated rule. */
     public List<String> violations() {
         return violations;
     }
 
-    /** How many attempts have started. */
+    /** The number of attempts that have started. */
     public int starts() {
         return starts;
     }
 
-    /** From now on no fault is injected: every job must be served in time. */
+    /** Starts the checks of time limits; the scenario injects no more faults. */
     public void faultsEnded() {
         serviceLevels.faultsEnded();
     }
 
-    /** Checks what must hold at the end of a scenario. */
+    /** Runs the checks that are only possible at the end of a scenario. */
     public void checkAtEnd() {
         checkCancelledDependents();
         serviceLevels.checkAtEnd();
@@ -73,68 +73,73 @@
         return settings().workers().cancelMs();
     }
 
-    void violation(String rule, String what) {
-        violations.add(rule + " at " + simulation.now() / 1000.0 + " s: " + what);
+    void addViolation(String rule, String detail) {
+        violations.add(rule + " at " + simulation.now() / 1000.0 + " s: " + detail);
     }
 
-    // --- what tasks do
+    // --- events of tasks
 
-    /** A worker received a launch, which may be as stale as a leadership allows, but no more. */
+    /**
+     * Records that a worker received a launch command. A deposed leader may not know of a cancellation and may send
+     * launches until its leadership expires, so launches are allowed for that time plus the request timeout after the
+     * user was told of the cancellation. A later launch is a violation.
+     */
     void launchReceived(SimulatedTask task) {
-        Long at = cancelledAt.get(task.jobId());
-        if (at != null && simulation.now() > at + settings().leadershipMs() + RESPONSE_TIMEOUT_MS) {
-            violation("started_cancelled", task.taskId() + ", cancelled at " + at / 1000.0 + " s");
+        Long cancelledAtMs = cancelledAt.get(task.jobId());
+        if (cancelledAtMs != null
+                && simulation.now() > cancelledAtMs + settings().leadershipMs() + REQUEST_TIMEOUT_MS) {
+            addViolation("started_cancelled", task.taskId() + ", cancelled at " + cancelledAtMs / 1000.0 + " s");
         }
     }
 
-    /** An attempt has its image and starts. */
+    /** Records that an attempt has pulled its image and starts. */
     void taskStarted(SimulatedTask task) {
         starts++;
         firstStart.putIfAbsent(task.jobId(), simulation.now());
         SimulatedJob job = simulation.users.job(task.jobId());
         if (job == null) {
-            violation("invented", task.taskId());
+            addViolation("invented", task.taskId());
             return;
         }
         for (String dependency : job.dependencies()) {
             if (!isComplete(dependency)) {
-                violation("too_early", task.taskId() + " started before " + dependency + " was done");
+                addViolation("too_early", task.taskId() + " started before " + dependency + " was done");
             }
         }
         checkAgainstRunning(task, job);
         checkMachine(task, job);
         checkCancelBound(task);
         running.add(task);
-        Long at = cancelledAt.get(task.jobId());
-        if (at != null) {
-            simulation.at(Math.max(0, at + cancelMs() + 1 - simulation.now()), () -> checkTerminated(task));
+        Long cancelledAtMs = cancelledAt.get(task.jobId());
+        if (cancelledAtMs != null) {
+            simulation.at(Math.max(0, cancelledAtMs + cancelMs() + 1 - simulation.now()), () -> checkTerminated(task));
         }
     }
 
     private void checkAgainstRunning(SimulatedTask task, SimulatedJob job) {
-        double used = job.cores();
-        int inZone = 1;
+        double usedCores = job.cores();
+        int jobTasksInZone = 1;
         for (SimulatedTask other : running) {
             SimulatedJob otherJob = simulation.users.job(other.jobId());
             if (other.taskId().equals(task.taskId())) {
-                violation("ran_twice", task.taskId() + " on " + task.worker().name + " and " + other.worker().name);
+                addViolation("ran_twice", task.taskId() + " on " + task.worker().name + " and " + other.worker().name);
             }
             if (otherJob.team().equals(job.team())) {
-                used += otherJob.cores();
+                usedCores += otherJob.cores();
             }
             if (other.jobId().equals(task.jobId())) {
                 boolean sameZone = other.worker().zone.equals(task.worker().zone);
-                inZone += sameZone ? 1 : 0;
+                jobTasksInZone += sameZone ? 1 : 0;
                 if (job.requiresOneZone() && !sameZone) {
-                    violation("wrong_place", task.taskId() + " in another zone than its job");
+                    addViolation("wrong_place", task.taskId() + " in another zone than its job");
                 }
             }
         }
-        if (job.requiresSpread() && inZone > (job.tasks() + 1) / 2) {
-            violation("wrong_place", task.taskId() + " makes too many in one zone");
+        if (job.requiresSpread() && jobTasksInZone > (job.tasks() + 1) / 2) {
+            addViolation("wrong_place", task.taskId() + " puts more than half of its job in one zone");
         }
-        if (used > quotaCores(job) + ROUNDING) {
-            violation("quota", job.team() + " uses " + used);
+        if (usedCores > quotaCores(job) + ROUNDING_TOLERANCE) {
+            addViolation("quota", job.team() + " uses " + usedCores);
         }
     }
 
@@ -147,29 +152,29 @@
         boolean otherZone = job.zone() != null && !job.zone().equals(worker.zone);
         boolean otherType = job.type() != null && !job.type().equals(worker.type);
         if (otherZone || otherType || !job.allowsSpot() && worker.spot) {
-            violation("wrong_place", task.taskId() + " on " + worker.name);
+            addViolation("wrong_place", task.taskId() + " on " + worker.name);
         }
     }
 
     private void checkCancelBound(SimulatedTask task) {
-        Long at = cancelledAt.get(task.jobId());
-        if (at != null && simulation.now() > at + cancelMs()) {
-            violation("ran_cancelled", task.taskId());
+        Long cancelledAtMs = cancelledAt.get(task.jobId());
+        if (cancelledAtMs != null && simulation.now() > cancelledAtMs + cancelMs()) {
+            addViolation("ran_cancelled", task.taskId());
         }
     }
 
     private void checkTerminated(SimulatedTask task) {
         if (running.contains(task)) {
-            violation("ran_cancelled", task.taskId() + " is still on " + task.worker().name);
+            addViolation("ran_cancelled", task.taskId() + " is still on " + task.worker().name);
         }
     }
 
-    /** A started attempt has exited, for whatever cause. */
+    /** Records that a started attempt has exited for any cause. */
     void taskEnded(SimulatedTask task) {
         running.remove(task);
     }
 
-    /** An attempt has run to its end. */
+    /** Records that an attempt has completed its task. */
     void taskCompleted(SimulatedTask task) {
         taskCompletedBefore(task.jobId(), task.index());
         if (isComplete(task.jobId())) {
@@ -177,66 +182,69 @@
         }
     }
 
-    /** The task was complete before the scenario began. */
+    /** Records a task that was already complete when the scenario began. */
     void taskCompletedBefore(String jobId, int index) {
         completedTasks.computeIfAbsent(jobId, id -> new HashSet<>()).add(index);
     }
 
-    // --- what users are told
+    // --- responses that users receive
 
-    /** A job that can never run, or lacks a field, was accepted. */
+    /** Records that a controller accepted a job that can never run or lacks a required field. */
     void invalidJobAccepted(String jobId) {
-        violation("accepted_odd", jobId);
+        addViolation("accepted_odd", jobId);
     }
 
-    /** An accepted job was rejected or not found. */
-    void jobForgotten(String jobId, int responseStatus) {
-        violation("forgotten", jobId + " got " + responseStatus);
+    /** Records that a controller rejected an accepted job when it was resubmitted, or did not find it. */
+    void acceptedJobLost(String jobId, int responseStatus) {
+        addViolation("forgotten", jobId + " got " + responseStatus);
     }
 
-    /** A job that nobody submitted was found. */
-    void jobInvented(String jobId) {
-        violation("invented", jobId);
+    /** Records that a controller returned a status for a job that no user submitted. */
+    void unknownJobFound(String jobId) {
+        addViolation("invented", jobId);
     }
 
-    /** A user was told this status; the response to a request older than the terminal status may arrive after it. */
-    void statusReported(String jobId, String status, long askedAt) {
+    /**
+     * Records the status in a response to a request sent at {@code sentAt}. A request sent before the user received the
+     * terminal status may return an older status afterwards, so it is not checked against the terminal status.
+     */
+    void statusReported(String jobId, String status, long sentAt) {
         SimulatedJob job = simulation.users.job(jobId);
         if (status.equals("pending") || status.equals("running")) {
-            checkNotOrphaned(job, status);
+            checkDependenciesNotCancelled(job, status);
         }
-        String before = terminalStatus.get(jobId);
-        if (before != null && !before.equals(status) && askedAt > terminalSince.get(jobId)) {
-            violation("went_back", jobId + " was " + before + ", now " + status);
+        String previousStatus = terminalStatus.get(jobId);
+        if (previousStatus != null && !previousStatus.equals(status) && sentAt > terminalSince.get(jobId)) {
+            addViolation("went_back", jobId + " was " + previousStatus + ", now " + status);
         }
         if (status.equals(DONE)) {
-            becomeTerminal(jobId, status);
+            recordTerminalStatus(jobId, status);
             if (completedCount(jobId) < job.tasks()) {
-                violation("not_done", jobId);
+                addViolation("not_done", jobId);
             }
         } else if (status.equals(CANCELLED)) {
-            becomeTerminal(jobId, status);
-            cancellationReported(job);
+            recordTerminalStatus(jobId, status);
+            checkReportedCancellation(job);
         }
     }
 
-    private void checkNotOrphaned(SimulatedJob job, String status) {
-        for (String ancestor : ancestors(job)) {
-            Long at = cancelledAt.get(ancestor);
-            if (at != null && simulation.now() > at + cancelMs()) {
-                violation("orphaned", job.jobId() + " is " + status + " though " + ancestor + " is cancelled");
+    private void checkDependenciesNotCancelled(SimulatedJob job, String status) {
+        for (String dependency : transitiveDependencies(job)) {
+            Long cancelledAtMs = cancelledAt.get(dependency);
+            if (cancelledAtMs != null && simulation.now() > cancelledAtMs + cancelMs()) {
+                addViolation("orphaned", job.jobId() + " is " + status + " though " + dependency + " is cancelled");
             }
         }
     }
 
-    private void becomeTerminal(String jobId, String status) {
+    private void recordTerminalStatus(String jobId, String status) {
         terminalSince.putIfAbsent(jobId, simulation.now());
         terminalStatus.put(jobId, status);
     }
 
-    private void cancellationReported(SimulatedJob job) {
-        if (!cancelRequestedForJobOrDependency(job)) {
-            violation("went_back", job.jobId() + " was not cancelled by its user");
+    private void checkReportedCancellation(SimulatedJob job) {
+        if (!isCancellationExpected(job)) {
+            addViolation("went_back", job.jobId() + " was not cancelled by its user");
         }
         if (cancelledAt.putIfAbsent(job.jobId(), simulation.now()) == null) {
             for (SimulatedTask task : List.copyOf(running)) {
@@ -247,26 +255,27 @@
         }
     }
 
-    /** True when its user cancelled the job, or one that it depends on and that was not reported done. */
-    private boolean cancelRequestedForJobOrDependency(SimulatedJob job) {
+    /** True when a user cancelled the job, or cancelled a dependency of it that was not reported done. */
+    private boolean isCancellationExpected(SimulatedJob job) {
         return job.cancelRequested()
-                || ancestors(job).stream()
-                        .anyMatch(ancestor -> simulation.users.job(ancestor).cancelRequested()
-                                && !DONE.equals(terminalStatus.get(ancestor)));
+                || transitiveDependencies(job).stream()
+                        .anyMatch(dependency -> simulation.users.job(dependency).cancelRequested()
+                                && !DONE.equals(terminalStatus.get(dependency)));
     }
 
-    /** A job that is cancelled without its user's request needs a dependency that is cancelled in the end. */
+    /** Checks that each job cancelled without a request of its user has a dependency that ended cancelled. */
     private void checkCancelledDependents() {
         for (SimulatedJob job : simulation.users.jobs()) {
             if (CANCELLED.equals(terminalStatus.get(job.jobId()))
                     && !job.cancelRequested()
-                    && ancestors(job).stream().noneMatch(a -> CANCELLED.equals(terminalStatus.get(a)))) {
-                violation("went_back", job.jobId() + " is cancelled, but no job that it needs");
+                    && transitiveDependencies(job).stream()
+                            .noneMatch(dependency -> CANCELLED.equals(terminalStatus.get(dependency)))) {
+                addViolation("went_back", job.jobId() + " is cancelled, but none of its dependencies is");
             }
         }
     }
 
-    // --- what is known of jobs
+    // --- state of jobs
 
     int completedCount(String jobId) {
         return completedTasks.getOrDefault(jobId, Set.of()).size();
@@ -277,35 +286,39 @@
         return completedCount(jobId) >= simulation.users.job(jobId).tasks();
     }
 
-    /** When the first attempt of the job started, or now. */
+    /** The time at which the first attempt of the job started, or the current time if none has. */
     long firstStartOrNow(SimulatedJob job) {
         return firstStart.getOrDefault(job.jobId(), simulation.now());
     }
 
-    /** When the job could first start: at its submission, or with the completion of its last dependency. */
+    /**
+     * The earliest time at which the job can start: its submission or the completion of its last dependency, whichever
+     * is later; {@code Long.MAX_VALUE} while a dependency is incomplete.
+     */
     long startableAt(SimulatedJob job) {
-        long at = job.submittedAt();
+        long startableAtMs = job.submittedAt();
         for (String dependency : job.dependencies()) {
-            at = Math.max(at, completeSince.getOrDefault(dependency, Long.MAX_VALUE));
+            startableAtMs = Math.max(startableAtMs, completeSince.getOrDefault(dependency, Long.MAX_VALUE));
         }
-        return at;
+        return startableAtMs;
     }
 
-    /** True when a user was told that the job, or one that it depends on, is cancelled. */
-    boolean isCancelledWithDependencies(SimulatedJob job) {
-        return cancelledAt.containsKey(job.jobId()) || ancestors(job).stream().anyMatch(cancelledAt::containsKey);
+    /** True when a user received the status cancelled for the job or for one of its transitive dependencies. */
+    boolean isJobOrDependencyCancelled(SimulatedJob job) {
+        return cancelledAt.containsKey(job.jobId())
+                || transitiveDependencies(job).stream().anyMatch(cancelledAt::containsKey);
     }
 
-    /** All jobs that this one depends on, directly or through others. */
-    private Set<String> ancestors(SimulatedJob job) {
-        Set<String> all = new LinkedHashSet<>();
+    /** The ids of all jobs that the job depends on, directly or indirectly. */
+    private Set<String> transitiveDependencies(SimulatedJob job) {
+        Set<String> dependencies = new LinkedHashSet<>();
         Deque<String> toVisit = new ArrayDeque<>(job.dependencies());
         while (!toVisit.isEmpty()) {
             String jobId = toVisit.remove();
-            if (all.add(jobId)) {
+            if (dependencies.add(jobId)) {
                 toVisit.addAll(simulation.users.job(jobId).dependencies());
             }
         }
-        return all;
+        return dependencies;
     }
 }
--- a/src/test/java/org/spoolline/simulation/SimulatedGangs.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedGangs.java
@@ -7,21 +7,24 @@
 import org.spoolline.simulation.SimulatedTask.ExitCause;
 import org.spoolline.simulation.SimulatedTask.Phase;
 
-/** How the members of a gang find one another, run together, and fail together. */
+/** The members of each gang attempt: they wait for each other, run together and fail together. */
 final class SimulatedGangs {
     private static final long GANG_WAIT_MS = 30_000;
-    private static final long MEMBER_LOSS_CHECK_MS = 500;
-    private static final long MEMBER_LOSS_NOTICED_MS = 2_000;
+    private static final long MEMBER_CHECK_INTERVAL_MS = 500;
+    private static final long MEMBER_LOSS_DETECTION_MS = 2_000;
 
     private final Simulation simulation;
-    /** Members that have pulled their image, by job and attempt. */
+    /** Members that have pulled their image, by job id and attempt number. */
     private final Map<String, Set<SimulatedTask>> membersByAttempt = new HashMap<>();
 
     SimulatedGangs(Simulation simulation) {
         this.simulation = simulation;
     }
 
-    /** A member has its image; the gang runs once all members of its attempt do. */
+    /**
+     * Adds a member that has pulled its image. The gang starts to run once all members of the attempt are live and have
+     * their image; a member that waits longer than {@link #GANG_WAIT_MS} exits.
+     */
     void imagePulled(SimulatedTask task) {
         Set<SimulatedTask> members = members(task);
         members.add(task);
@@ -30,7 +33,7 @@
         if (members.size() == job.tasks()) {
             for (SimulatedTask member : members) {
                 member.enter(Phase.RUNNING);
-                member.worker().statusChanged();
+                member.worker().requestHeartbeat();
             }
             task.worker().runFor(task, job.gangRunMs());
             checkMembers(task);
@@ -43,10 +46,10 @@
         }
     }
 
-    private void checkMembers(SimulatedTask any) {
-        Set<SimulatedTask> members = members(any);
+    private void checkMembers(SimulatedTask task) {
+        Set<SimulatedTask> members = members(task);
         if (members.stream().allMatch(SimulatedTask::isAlive)) {
-            simulation.at(MEMBER_LOSS_CHECK_MS, () -> checkMembers(any));
+            simulation.at(MEMBER_CHECK_INTERVAL_MS, () -> checkMembers(task));
             return;
         }
         if (members.stream()
@@ -54,10 +57,11 @@
                         member.cause().filter(ExitCause.COMPLETED::equals).isPresent())) {
             return;
         }
-        simulation.at(MEMBER_LOSS_NOTICED_MS, () -> members.forEach(member -> member.exit(ExitCause.GANG_MEMBER_LOST)));
+        simulation.at(
+                MEMBER_LOSS_DETECTION_MS, () -> members.forEach(member -> member.exit(ExitCause.GANG_MEMBER_LOST)));
     }
 
-    /** The member that runs for the gang has finished: all members complete, unless one was lost. */
+    /** Completes all members when the run time of the gang has elapsed, unless a member has exited before. */
     void complete(SimulatedTask task) {
         Set<SimulatedTask> members = members(task);
         if (!members.stream().allMatch(SimulatedTask::isAlive)) {
@@ -69,6 +73,6 @@
     }
 
     private Set<SimulatedTask> members(SimulatedTask task) {
-        return membersByAttempt.computeIfAbsent(task.jobId() + "#" + task.attempt(), k -> new LinkedHashSet<>());
+        return membersByAttempt.computeIfAbsent(task.jobId() + "#" + task.attempt(), attempt -> new LinkedHashSet<>());
     }
 }
--- a/src/test/java/org/spoolline/simulation/WorkerTasks.java
+++ b/src/test/java/org/spoolline/simulation/WorkerTasks.java
@@ -13,14 +13,14 @@
 import org.spoolline.simulation.SimulatedTask.ExitCause;
 import org.spoolline.simulation.SimulatedTask.Phase;
 
-/** The attempts on one worker: launch, image pull, run, kill and clear. */
+/** The attempts on one worker, and the execution of the launch, kill and clear commands. */
 final class WorkerTasks {
-    private static final long CACHED_IMAGE_MS = 50;
+    private static final long CACHED_IMAGE_PULL_MS = 50;
     private static final long PROGRESS_STEP_MS = 200;
 
     private final Simulation simulation;
     private final FakeWorker worker;
-    /** By task id and attempt, in order of launch. */
+    /** Attempts by task id and attempt number, in order of launch. */
     private final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
     private final Set<String> cachedImages = new HashSet<>();
@@ -30,12 +30,12 @@
         this.worker = worker;
     }
 
-    /** A copy, in order of launch. */
+    /** A copy of the attempts in order of launch. */
     List<SimulatedTask> list() {
         return new ArrayList<>(tasks.values());
     }
 
-    /** Cores that live attempts hold, those that still pull their image too. */
+    /** Cores allocated to live attempts; an attempt that still pulls its image counts as live. */
     double usedCores() {
         return tasks.values().stream()
                 .filter(SimulatedTask::isAlive)
@@ -43,79 +43,80 @@
                 .sum();
     }
 
-    /** Ends all attempts and forgets them. */
+    /** Ends all live attempts as lost with the machine and removes all attempts. */
     void loseAll() {
         tasks.values().forEach(SimulatedTask::lose);
         tasks.clear();
     }
 
-    /** Adds the status of each attempt to a heartbeat. */
-    void writeStatus(ArrayNode slips) {
+    /** Adds the status of each attempt to the array of a heartbeat. */
+    void writeStatus(ArrayNode statuses) {
         for (SimulatedTask task : tasks.values()) {
-            ObjectNode slip = slips.addObject()
+            ObjectNode status = statuses.addObject()
                     .put("slip", task.taskId())
                     .put("try", task.attempt())
                     .put("status", task.phase().wireName());
-            task.cause().ifPresent(cause -> slip.put("cause", cause.wireName()).put("kept", task.checkpointSaved()));
+            task.cause()
+                    .ifPresent(cause -> status.put("cause", cause.wireName()).put("kept", task.checkpointSaved()));
         }
     }
 
-    /** Carries out one command of the leader; repeating it changes nothing. */
-    void carryOut(JsonNode order) {
-        String taskId = order.path("slip").asText();
-        long attempt = order.path("try").asLong();
-        String id = taskId + "#" + attempt;
-        SimulatedTask known = tasks.get(id);
-        switch (order.path("verb").asText()) {
+    /** Executes one command of the leader. Commands are idempotent. */
+    void execute(JsonNode command) {
+        String taskId = command.path("slip").asText();
+        long attempt = command.path("try").asLong();
+        String attemptId = taskId + "#" + attempt;
+        SimulatedTask existing = tasks.get(attemptId);
+        switch (command.path("verb").asText()) {
             case "launch" -> {
-                if (known == null) {
-                    launch(id, new SimulatedTask(simulation.invariants, worker, taskId, attempt));
+                if (existing == null) {
+                    launch(attemptId, new SimulatedTask(simulation.invariants, worker, taskId, attempt));
                 }
             }
             case "kill" -> {
-                if (known != null && known.isAlive()) {
-                    known.kill(order.path("windDownS").asDouble() >= 1
-                            && jobOf(known).savesCheckpoints());
+                if (existing != null && existing.isAlive()) {
+                    existing.kill(command.path("windDownS").asDouble() >= 1
+                            && jobOf(existing).savesCheckpoints());
                 }
             }
             case "clear" -> {
-                if (known != null && !known.isAlive()) {
-                    tasks.remove(id);
+                if (existing != null && !existing.isAlive()) {
+                    tasks.remove(attemptId);
                 }
             }
-            default -> throw new AssertionError(order);
+            default -> throw new AssertionError(command);
         }
     }
 
-    private void launch(String id, SimulatedTask task) {
-        Optional<ExitCause> rejection = rejection(task);
-        tasks.put(id, task);
-        if (rejection.isPresent()) {
-            task.exit(rejection.get());
+    private void launch(String attemptId, SimulatedTask task) {
+        Optional<ExitCause> rejectionCause = rejectionCause(task);
+        tasks.put(attemptId, task);
+        if (rejectionCause.isPresent()) {
+            task.exit(rejectionCause.get());
             return;
         }
-        worker.statusChanged();
+        worker.requestHeartbeat();
         simulation.invariants.launchReceived(task);
         String image = jobOf(task).image();
-        long pullMs = cachedImages.contains(image) ? CACHED_IMAGE_MS : simulation.users.imagePullMs(task.jobId());
+        long pullMs = cachedImages.contains(image) ? CACHED_IMAGE_PULL_MS : simulation.users.imagePullMs(task.jobId());
         simulation.at(pullMs, () -> imagePulled(task, image));
     }
 
-    /** Why the worker does not launch a task that is not among its tasks yet, if so. */
-    private Optional<ExitCause> rejection(SimulatedTask task) {
+    /** Why the worker rejects the launch of a new attempt, or empty if it accepts the launch. */
+    private Optional<ExitCause> rejectionCause(SimulatedTask task) {
         if (!simulation.users.hasSubmitted(task.jobId())) {
             return Optional.of(ExitCause.JOB_UNKNOWN);
         }
-        double used = 0;
+        double usedCores = 0;
         for (SimulatedTask other : tasks.values()) {
             if (other.isAlive()) {
-                used += jobOf(other).cores();
+                usedCores += jobOf(other).cores();
                 if (other.taskId().equals(task.taskId())) {
                     return Optional.of(ExitCause.ALREADY_RUNNING);
                 }
             }
         }
-        return used + jobOf(task).cores() > worker.cores() ? Optional.of(ExitCause.NO_CAPACITY) : Optional.empty();
+        return usedCores + jobOf(task).cores() > worker.cores() ? Optional.of(ExitCause.NO_CAPACITY) : Optional.empty();
     }
 
     private void imagePulled(SimulatedTask task, String image) {
@@ -135,18 +136,21 @@
             task.enter(Phase.RUNNING);
             runFor(task, job.runMs(task.index()));
         }
-        worker.statusChanged();
+        worker.requestHeartbeat();
     }
 
-    /** Completes the task after its time, unless it ends before; a hanging worker makes no progress. */
-    void runFor(SimulatedTask task, long leftMs) {
+    /**
+     * Completes the task, or its gang, after it has run for the remaining time, unless the attempt ends earlier. Time
+     * during which the worker hangs does not count.
+     */
+    void runFor(SimulatedTask task, long remainingMs) {
         simulation.at(PROGRESS_STEP_MS, () -> {
             if (worker.isDown() || !task.isAlive()) {
                 return;
             }
-            long rest = worker.isHanging() ? leftMs : leftMs - PROGRESS_STEP_MS;
-            if (rest > 0) {
-                runFor(task, rest);
+            long remainingAfterStepMs = worker.isHanging() ? remainingMs : remainingMs - PROGRESS_STEP_MS;
+            if (remainingAfterStepMs > 0) {
+                runFor(task, remainingAfterStepMs);
             } else if (jobOf(task).isGang()) {
                 simulation.users.gangs().complete(task);
             } else {
