--- a/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/org/spoolline/autoscaler/ScaleOutPlanner.java
@@ -29,7 +29,7 @@
 
     /** A machine type in a zone, either on-demand or spot. */
     public record Offer(String type, String zone, boolean spot) {
-        /** Written by hand for a faster start, see {@link org.spoolline.pipeline.Attempt#equals}. */
+        /** Implemented by hand, see {@link org.spoolline.pipeline.Attempt#equals}. */
         @Override
         public boolean equals(Object other) {
             return other instanceof Offer o && spot == o.spot && type.equals(o.type) && zone.equals(o.zone);
--- a/src/main/java/org/spoolline/cluster/TaskStatus.java
+++ b/src/main/java/org/spoolline/cluster/TaskStatus.java
@@ -19,7 +19,7 @@
         return new AttemptId(jobId, task, attempt);
     }
 
-    /** Not generated, for the reason given at {@link org.spoolline.pipeline.Attempt#equals}. */
+    /** Implemented by hand, see {@link org.spoolline.pipeline.Attempt#equals}. */
     @Override
     public boolean equals(Object other) {
         return other instanceof TaskStatus status
--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
@@ -203,7 +203,7 @@
     }
 
     /**
-     * Ends a lease at once. If the request fails, the lease expires after its time to live. Acquires its request
+     * Ends a lease at once. If the request fails, the lease expires after its time to live. Acquires its permit
      * itself, with debt.
      */
     public void endLease(long leaseId) {
--- a/src/main/java/org/spoolline/pipeline/TaskAttempts.java
+++ b/src/main/java/org/spoolline/pipeline/TaskAttempts.java
@@ -11,7 +11,10 @@
  * <p>Mutable and not thread-safe: each instance belongs to one {@link Pipeline}.
  */
 final class TaskAttempts {
-    /** Off, because nested loops over the same attempts would break a cached iterator. */
+    /**
+     * Iterator caching is disabled, because nested loops over the same attempts would share and break a cached
+     * iterator.
+     */
     private static final boolean CACHE_ITERATORS = false;
 
     private final Int2ObjectHashMap<Attempt> byTask;
--- a/src/main/java/org/spoolline/scheduler/CyclePacer.java
+++ b/src/main/java/org/spoolline/scheduler/CyclePacer.java
@@ -5,7 +5,8 @@
 import org.spoolline.net.EventLoop;
 
 /**
- * Schedules scheduling cycles. The delay of a cycle grows with the number of values that the last cycle had to write.
+ * Determines when scheduling cycles run. The delay of a cycle grows with the number of values that the last cycle had
+ * to write.
  *
  * <p>While the event loop runs late, the first cycle of a term is deferred for up to one heartbeat interval. The
  * delayed events then include the first heartbeats of workers whose leases are about to expire, and a cycle that runs
--- a/src/main/java/org/spoolline/scheduler/SchedulingCycle.java
+++ b/src/main/java/org/spoolline/scheduler/SchedulingCycle.java
@@ -69,7 +69,7 @@
 
     /**
      * Reports that the orders are complete only when no write is deferred or in flight. Otherwise a held heartbeat
-     * response would be released before the launch it waits for is stored, and the machine would receive that launch
+     * response would be sent before the launch it waits for is stored, and the machine would receive that launch
      * only with its next regular heartbeat, seconds later.
      */
     private void notifyOfOrders(boolean allWritesSent) {
--- a/src/test/java/org/spoolline/simulation/CloudFaultsTest.java
+++ b/src/test/java/org/spoolline/simulation/CloudFaultsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.spoolline.net.Json;
 
-/** Scale out and scale in while the cloud is down, short of capacity, slow or preempts machines. */
+/** Scale out and scale in while the cloud is down, short of capacity, slow or reclaims machines. */
 class CloudFaultsTest {
     @ParameterizedTest
     @MethodSource(Seeds.EACH)
--- a/src/test/java/org/spoolline/simulation/ConcurrentFaults.java
+++ b/src/test/java/org/spoolline/simulation/ConcurrentFaults.java
@@ -49,7 +49,7 @@
         return cancelled;
     }
 
-    /** Submits a job array whose tasks run for longer than leases and elections last. */
+    /** Submits an array job whose tasks run for longer than leases and elections last. */
     static SimulatedJob submitLongJob(Simulation simulation, String team, int tasks, double cores) {
         return simulation.users.submit(simulation.users.job(team, "batch", tasks, cores, 70));
     }
--- a/src/test/java/org/spoolline/simulation/FakeWorker.java
+++ b/src/test/java/org/spoolline/simulation/FakeWorker.java
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Puts a preemption notice into the worker's heartbeats and removes the spot machine after the given number of
+     * Puts an interruption notice into the worker's heartbeats and removes the spot machine after the given number of
      * seconds.
      */
     public void preemptWithNotice(double seconds) {
@@ -128,7 +128,7 @@
         return FakeCloud.cores(type);
     }
 
-    /** Cores not allocated to live attempts; an attempt that still pulls its image counts as live. */
+    /** Cores not allocated to live attempts; an attempt that still fetches its image counts as live. */
     double freeCores() {
         return cores() - tasks.usedCores();
     }
--- a/src/test/java/org/spoolline/simulation/FleetTest.java
+++ b/src/test/java/org/spoolline/simulation/FleetTest.java
@@ -11,7 +11,7 @@
 /** Deployments of hundreds to thousands of machines, where bounds on sockets, requests and time matter. */
 class FleetTest {
     /**
-     * Runs job arrays and gangs of two teams on over a thousand machines, and injects the fault 70 s after the first
+     * Runs array jobs and gangs of two teams on over a thousand machines, and injects the fault 70 s after the first
      * jobs.
      */
     private static void runFleet(int seed, Workloads.Fault fault) {
--- a/src/test/java/org/spoolline/simulation/InvariantChecker.java
+++ b/src/test/java/org/spoolline/simulation/InvariantChecker.java
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Records that an attempt has pulled its image and starts. */
+    /** Records that an attempt has fetched its image and starts. */
     void taskStarted(SimulatedTask task) {
         starts++;
         firstStart.putIfAbsent(task.jobId(), simulation.now());
--- a/src/test/java/org/spoolline/simulation/QuotaAfterOutageTest.java
+++ b/src/test/java/org/spoolline/simulation/QuotaAfterOutageTest.java
@@ -22,8 +22,8 @@
     private static final int TEAM_SCALE = 4;
 
     /**
-     * Submits more gangs of team red than its guarantee of 64 cores and its limit of 128 cores hold at a time, and job
-     * arrays of team blue.
+     * Submits more gangs of team red than its guarantee of 64 cores and its limit of 128 cores hold at a time, and
+     * array jobs of team blue.
      */
     private static void submitBacklog(Simulation simulation) {
         for (int i = 0; i < 60; i++) {
--- a/src/test/java/org/spoolline/simulation/ReleasedAttemptsTest.java
+++ b/src/test/java/org/spoolline/simulation/ReleasedAttemptsTest.java
@@ -22,7 +22,7 @@
     private static final int WRITES_PER_S = 12;
     private static final int TEAM_SCALE = 4;
 
-    /** Submits job arrays that save checkpoints, and critical gangs that preempt them. */
+    /** Submits array jobs that save checkpoints, and critical gangs that preempt them. */
     private static void submitCompetingJobs(Simulation simulation) {
         for (int i = 0; i < 50; i++) {
             int tasks = 2 + i % 3;
--- a/src/test/java/org/spoolline/simulation/SimulatedGangs.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedGangs.java
@@ -14,7 +14,7 @@
     private static final long MEMBER_LOSS_DETECTION_MS = 2_000;
 
     private final Simulation simulation;
-    /** Members that have pulled their image, by job id and attempt number. */
+    /** Members that have fetched their image, by job id and attempt number. */
     private final Map<String, Set<SimulatedTask>> membersByAttempt = new HashMap<>();
 
     SimulatedGangs(Simulation simulation) {
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Adds a member that has pulled its image. The gang starts to run once all members of the attempt are live and have
-     * their image; a member that waits longer than {@link #GANG_WAIT_MS} exits.
+     * Adds a member that has fetched its image. The gang starts to run once all members of the attempt are live and
+     * have their image; a member that waits longer than {@link #GANG_WAIT_MS} exits.
      */
     void imagePulled(SimulatedTask task) {
         Set<SimulatedTask> members = members(task);
--- a/src/test/java/org/spoolline/simulation/SimulatedTask.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedTask.java
@@ -54,7 +54,7 @@
     private Optional<ExitCause> cause = Optional.empty();
     private boolean checkpointSaved;
 
-    /** Creates an attempt that pulls its image; {@code taskId} has the form {@code jobId/index}. */
+    /** Creates an attempt that fetches its image; {@code taskId} has the form {@code jobId/index}. */
     SimulatedTask(InvariantChecker invariants, FakeWorker worker, String taskId, long attempt) {
         int slash = taskId.indexOf('/');
         this.invariants = invariants;
--- a/src/test/java/org/spoolline/simulation/SimulatedUsers.java
+++ b/src/test/java/org/spoolline/simulation/SimulatedUsers.java
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Duration of an image pull, nominally 1 s per GB. An image of at most 1 GB takes half the nominal time; a larger
+     * Duration of an image fetch, nominally 1 s per GB. An image of at most 1 GB takes half the nominal time; a larger
      * one takes a random time up to a third below or above it.
      */
     long imagePullMs(String jobId) {
--- a/src/test/java/org/spoolline/simulation/StallTest.java
+++ b/src/test/java/org/spoolline/simulation/StallTest.java
@@ -16,7 +16,7 @@
 /** The counters that tell operators why no task starts, and the bound on the time until tasks start after faults. */
 class StallTest {
     /**
-     * Bound on the time from the last fault until waiting jobs start: an election, a machine boot, an image pull and a
+     * Bound on the time from the last fault until waiting jobs start: an election, a machine boot, an image fetch and a
      * rejected scale-out request.
      */
     private static final double MAX_START_DELAY_S = 75;
--- a/src/test/java/org/spoolline/simulation/WorkerTasks.java
+++ b/src/test/java/org/spoolline/simulation/WorkerTasks.java
@@ -35,7 +35,7 @@
         return new ArrayList<>(tasks.values());
     }
 
-    /** Cores allocated to live attempts; an attempt that still pulls its image counts as live. */
+    /** Cores allocated to live attempts; an attempt that still fetches its image counts as live. */
     double usedCores() {
         return tasks.values().stream()
                 .filter(SimulatedTask::isAlive)
--- a/src/test/java/org/spoolline/simulation/WorkloadTest.java
+++ b/src/test/java/org/spoolline/simulation/WorkloadTest.java
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Gang members that already have the image time out while other members still pull it. If members lost their
-     * machines, they would pull the image again on other machines while the rest time out in turn, and the gang would
+     * Gang members that already have the image time out while other members still fetch it. If members lost their
+     * machines, they would fetch the image again on other machines while the rest time out in turn, and the gang would
      * never start.
      */
     @ParameterizedTest
