--- a/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
+++ b/src/main/java/org/spoolline/kvstore/KeyValueStoreClient.java
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Waits up to {@code waitMs} for changes of keys with a prefix after a revision. Acquires its request itself, with
+     * Waits up to {@code waitMs} for changes of keys with a prefix after a revision. Acquires its permit itself, with
      * debt.
      */
     public void watch(String prefix, long afterRevision, long waitMs, Consumer<WatchResult> onResult) {
@@ -178,7 +178,7 @@
     }
 
     /**
-     * Creates a lease; the result is empty if the store refused or did not respond. Acquires its request itself, with
+     * Creates a lease; the result is empty if the store refused or did not respond. Acquires its permit itself, with
      * debt.
      */
     public void createLease(long ttlMs, Consumer<OptionalLong> onResult) {
